--- a/core/src/direct.rs
+++ b/core/src/direct.rs
@@ -10,16 +10,16 @@
 
 pub mod caches;
 pub mod catalog;
-mod choice;
+mod ejection;
 pub mod endpoint;
+pub mod endpoint_table;
 pub mod events;
 pub mod freshness;
-mod health;
 pub mod lateness;
 pub mod replication;
 pub mod retry_after;
 pub mod rollout;
-pub mod roster;
+mod sampling;
 pub mod shares;
 pub mod subscribers;
 pub mod versions;
--- /dev/null
+++ b/core/src/direct/endpoint_table/selection.rs
@@ -0,0 +1,144 @@
+//! The choice of an endpoint for a request.
+
+use std::time::Duration;
+
+use rand::Rng;
+use rand::RngExt;
+
+use super::EndpointTable;
+use super::Requirements;
+use super::Result;
+use super::Unavailable;
+use crate::direct::endpoint::EndpointKey;
+use crate::direct::sampling::CandidateSample;
+use crate::ids::RegionName;
+use crate::ids::ServiceName;
+use crate::time::Time;
+
+/// Load, in requests, that an endpoint of another zone of the region may have less before it is
+/// preferred, and one of another region: bytes that cross a region cost more than a place in a queue.
+const ZONE_PENALTY: f64 = 1.0;
+const REGION_PENALTY: f64 = 3.0;
+
+impl EndpointTable {
+    /// Chooses an endpoint with little load that may serve `need`. O(endpoints of the service).
+    pub fn choose<R: Rng>(
+        &mut self,
+        requirements: &Requirements<'_>,
+        now: Time,
+        rng: &mut R,
+    ) -> Result<EndpointKey> {
+        let Some(keys) = self.by_service.get(requirements.service).cloned() else {
+            return Err(Unavailable::NoEndpoint);
+        };
+        let mut available = CandidateSample::default();
+        let mut ejected = CandidateSample::default();
+        let mut has_match = false;
+        let mut has_cold = false;
+        let mut has_available = false;
+        for key in keys {
+            if requirements.tried.contains(&key) || !self.satisfies(key, requirements) {
+                continue;
+            }
+            has_match = true;
+            let is_available =
+                self.endpoints.get(key).is_some_and(|endpoint| endpoint.is_available(now));
+            has_available |= is_available;
+            if !self.admits_while_cold(key, requirements, rng, now) {
+                has_cold = true;
+                continue;
+            }
+            let Some(score) = self.score(key, requirements.is_late, now) else {
+                continue;
+            };
+            let sample = if is_available { &mut available } else { &mut ejected };
+            sample.offer(score, key, self.is_far(key), rng);
+        }
+        // An endpoint that loses answers is worse than none while others are merely full.
+        let chosen = if has_available { available.best() } else { ejected.best() };
+        chosen.ok_or(match (has_match, has_cold) {
+            (false, _) => Unavailable::NoEndpoint,
+            (true, false) => Unavailable::Full,
+            (true, true) => Unavailable::Warming,
+        })
+    }
+
+    /// Time until the first endpoint of a service serves that does not serve yet, as agents know it.
+    pub fn ready_in(&self, service: &ServiceName, now: Time) -> Option<Duration> {
+        let keys = self.by_service.get(service)?;
+        let routable = keys.iter().filter(|key| self.is_routable(**key));
+        let endpoints = routable.filter_map(|key| self.endpoints.get(*key));
+        endpoints
+            .filter(|endpoint| endpoint.is_in_subset())
+            .filter_map(|endpoint| endpoint.ready_in(now))
+            .min()
+    }
+
+    /// Time until the first cold endpoint of a service is warm; zero if none is cold.
+    pub fn warm_in(&self, service: &ServiceName, now: Time) -> Duration {
+        let keys = self.by_service.get(service).map(Vec::as_slice).unwrap_or_default();
+        let routable = keys.iter().filter(|key| self.is_routable(**key));
+        let endpoints = routable.filter_map(|key| self.endpoints.get(*key));
+        let remaining = endpoints
+            .filter(|endpoint| endpoint.is_in_subset())
+            .filter_map(|endpoint| endpoint.cold_remaining(now));
+        remaining.min().unwrap_or_default()
+    }
+
+    /// Whether an endpoint is in another region.
+    fn is_far(&self, key: EndpointKey) -> bool {
+        self.endpoints.get(key).is_some_and(|endpoint| *endpoint.region() != self.region)
+    }
+
+    fn satisfies(&self, key: EndpointKey, requirements: &Requirements<'_>) -> bool {
+        let Some(endpoint) = self.endpoints.get(key) else {
+            return false;
+        };
+        let allows_region =
+            |regions: &&[RegionName]| regions.is_empty() || regions.contains(endpoint.region());
+        let has_weights = requirements.model.is_none_or(|(model, min_version)| {
+            let weights = &endpoint.record().weights;
+            weights.iter().any(|(name, version)| name == model && *version >= min_version)
+        });
+        // A plain service takes any request, whatever model its caller names.
+        let has_weights = has_weights || !endpoint.record().is_engine;
+        endpoint.is_in_subset()
+            && !endpoint.is_superseded()
+            && self.is_routable(key)
+            && requirements.regions.iter().all(allows_region)
+            && has_weights
+    }
+
+    /// Whether an endpoint is warm, or it is this entry's turn to send it a request.
+    fn admits_while_cold<R: Rng>(
+        &mut self,
+        key: EndpointKey,
+        requirements: &Requirements<'_>,
+        rng: &mut R,
+        now: Time,
+    ) -> bool {
+        let entries = self.entry_count.for_limits();
+        let endpoint = self.endpoints.get_mut(key);
+        endpoint.is_some_and(|endpoint| {
+            endpoint.admits_while_cold(requirements.cold_per_second, entries, rng.random(), now)
+        })
+    }
+
+    /// Load of an endpoint in requests, with a penalty for distance; `None` while it is full.
+    fn score(&mut self, key: EndpointKey, is_late: bool, now: Time) -> Option<f64> {
+        let distance_penalty = self.distance_penalty(key)?;
+        let load = self.endpoints.get_mut(key)?.load(self.entries, is_late, now)?;
+        Some(load + distance_penalty)
+    }
+
+    fn distance_penalty(&self, key: EndpointKey) -> Option<f64> {
+        let endpoint = self.endpoints.get(key)?;
+        Some(if endpoint.record().zone == self.zone {
+            0.0
+        } else if *endpoint.region() == self.region {
+            ZONE_PENALTY
+        } else {
+            REGION_PENALTY
+        })
+    }
+}
--- a/core/src/direct/roster/listing.rs
+++ b/core/src/direct/endpoint_table/updates.rs
@@ -6,10 +6,10 @@
 
 use smol_str::SmolStr;
 
-use super::Roster;
+use super::EndpointTable;
 use crate::direct::endpoint::Endpoint;
 use crate::direct::endpoint::EndpointKey;
-use crate::direct::endpoint::Listed;
+use crate::direct::endpoint::EndpointRecord;
 use crate::ids::Digest;
 use crate::ids::RegionName;
 use crate::ids::Revision;
@@ -20,11 +20,11 @@
 /// Engines of each other region that an entry sends requests to and is sent load reports of. With all of
 /// them, datagrams would grow with the product of entries and engines and fill the links between regions. A
 /// region's entries cover all engines of another several times over, as each draws its own.
-const COVERED_ELSEWHERE: usize = 8;
+const FAR_SUBSET_SIZE: usize = 8;
 
-impl Roster {
+impl EndpointTable {
     /// All changes of endpoints up to this revision of the store are known.
-    pub fn seen(&mut self, as_of: Revision) {
+    pub fn advance_as_of(&mut self, as_of: Revision) {
         self.as_of = self.as_of.max(as_of);
     }
 
@@ -39,127 +39,131 @@
     ///
     /// An older list, of an entry that the store turned away, would bring back endpoints that have left
     /// since, and their callers would be cut off. What changes after it comes on its own.
-    pub fn put_all(
+    pub fn replace_all(
         &mut self,
         as_of: Revision,
-        listed: Vec<Listed>,
+        records: Vec<EndpointRecord>,
         lapsed: &[SmolStr],
         now: Time,
     ) -> Option<Vec<SmolStr>> {
         if as_of < self.as_of {
             return None;
         }
-        let kept: HashSet<&SmolStr> = listed.iter().map(|one| &one.id).chain(lapsed).collect();
-        let gone: Vec<SmolStr> = self.ids().filter(|id| !kept.contains(id)).cloned().collect();
-        drop(kept);
-        gone.iter().for_each(|id| self.delete(id, as_of));
-        for one in listed {
-            self.put_listed(one, now);
+        let retained: HashSet<&SmolStr> =
+            records.iter().map(|record| &record.id).chain(lapsed).collect();
+        let removed: Vec<SmolStr> =
+            self.ids().filter(|id| !retained.contains(id)).cloned().collect();
+        drop(retained);
+        removed.iter().for_each(|id| self.remove_record(id, as_of));
+        for record in records {
+            self.apply_record(record, now);
         }
-        self.cover();
+        self.update_subset();
         self.as_of = as_of;
-        Some(gone)
+        Some(removed)
     }
 
     /// Adds an endpoint or takes in what changed of it. False if that is older than what is known.
-    pub fn put(&mut self, listed: Listed, now: Time) -> bool {
+    pub fn upsert(&mut self, record: EndpointRecord, now: Time) -> bool {
         // Changes up to there are known, and so is that the endpoint has gone since.
-        let is_past = listed.revision <= self.as_of && !self.by_id.contains_key(&listed.id);
+        let is_stale = record.revision <= self.as_of && !self.by_id.contains_key(&record.id);
         let count = self.by_id.len();
-        let is_newer = !is_past && self.put_listed(listed, now);
+        let is_newer = !is_stale && self.apply_record(record, now);
         if self.by_id.len() != count {
-            self.cover();
+            self.update_subset();
         }
         is_newer
     }
 
-    fn put_listed(&mut self, listed: Listed, now: Time) -> bool {
-        if let Some(key) = self.by_id.get(&listed.id).copied()
+    fn apply_record(&mut self, record: EndpointRecord, now: Time) -> bool {
+        if let Some(key) = self.by_id.get(&record.id).copied()
             && let Some(endpoint) = self.endpoints.get_mut(key)
         {
-            if listed.revision < endpoint.listed().revision {
+            if record.revision < endpoint.record().revision {
                 return false;
             }
-            if endpoint.is_same_process(&listed) {
-                endpoint.update(listed, now);
+            if endpoint.is_same_process(&record) {
+                endpoint.update(record, now);
                 return true;
             }
-            self.delete(&listed.id, listed.revision);
+            self.remove_record(&record.id, record.revision);
         }
-        let region = self.regions.get(&listed.zone).cloned().unwrap_or_default();
-        let id = listed.id.clone();
-        let service = listed.service.clone();
-        let address = listed.address;
-        let pair = format!("{} {}", self.host.as_str(), listed.address);
+        let region = self.regions.get(&record.zone).cloned().unwrap_or_default();
+        let id = record.id.clone();
+        let service = record.service.clone();
+        let address = record.address;
+        let pair = format!("{} {}", self.host.as_str(), record.address);
         let affinity = key_of(Digest::of(pair.as_bytes()));
-        let key = self.endpoints.insert(Endpoint::new(listed, region, affinity, now));
+        let key = self.endpoints.insert(Endpoint::new(record, region, affinity, now));
         self.by_id.insert(id, key);
         self.by_service.entry(service).or_default().push(key);
         self.by_address.entry(address).or_default().push(key);
-        self.note_restart(address);
+        self.mark_superseded(address);
         true
     }
 
     /// Notes for all endpoints at an address which process started there last.
-    fn note_restart(&mut self, address: SocketAddr) {
+    fn mark_superseded(&mut self, address: SocketAddr) {
         let keys = self.by_address.get(&address).map(Vec::as_slice).unwrap_or_default();
-        let born = |key: &EndpointKey| Some(self.endpoints.get(*key)?.listed().born);
-        let Some(latest) = keys.iter().filter_map(born).max() else {
+        let start_of = |key: &EndpointKey| Some(self.endpoints.get(*key)?.record().started_ms);
+        let Some(last_start) = keys.iter().filter_map(start_of).max() else {
             return;
         };
         for key in keys {
             if let Some(endpoint) = self.endpoints.get_mut(*key) {
-                endpoint.seen_at_address(latest);
+                endpoint.observe_process(last_start);
             }
         }
     }
 
     /// An endpoint is gone, whose entry was last changed at `last`. It stays if it has come back since.
     pub fn remove(&mut self, id: &str, last: Revision) {
-        self.delete(id, last);
-        self.cover();
+        self.remove_record(id, last);
+        self.update_subset();
     }
 
     /// Works out which engines of other regions this entry sends requests to. O(n log n).
     ///
     /// As many more as its own region lacks: with its zone out of service an entry would else share a few
     /// engines of other regions with entries that have all of theirs, and its callers be refused first.
-    fn cover(&mut self) {
+    fn update_subset(&mut self) {
         let mut far: HashMap<RegionName, Vec<(u64, EndpointKey)>> = HashMap::new();
-        let mut closed = 0;
-        for (key, one) in self.endpoints.iter().filter(|(_, one)| one.listed().is_engine) {
-            if *one.region() != self.region {
-                far.entry(one.region().clone()).or_default().push((one.affinity(), key));
-            } else if !self.is_open(key) {
-                closed += 1;
+        let mut unroutable = 0;
+        for (key, endpoint) in
+            self.endpoints.iter().filter(|(_, endpoint)| endpoint.record().is_engine)
+        {
+            if *endpoint.region() != self.region {
+                far.entry(endpoint.region().clone()).or_default().push((endpoint.affinity(), key));
+            } else if !self.is_routable(key) {
+                unroutable += 1;
             }
         }
-        let covered = COVERED_ELSEWHERE + usize::div_ceil(closed, far.len().max(1));
-        for mut drawn in far.into_values() {
-            drawn.sort_unstable_by_key(|(affinity, _)| *affinity);
-            for (n, (_, key)) in drawn.into_iter().enumerate() {
-                if let Some(one) = self.endpoints.get_mut(key) {
-                    one.set_covered(n < covered);
+        let subset_size = FAR_SUBSET_SIZE + usize::div_ceil(unroutable, far.len().max(1));
+        for mut engines in far.into_values() {
+            engines.sort_unstable_by_key(|(affinity, _)| *affinity);
+            for (n, (_, key)) in engines.into_iter().enumerate() {
+                if let Some(endpoint) = self.endpoints.get_mut(key) {
+                    endpoint.set_in_subset(n < subset_size);
                 }
             }
         }
     }
 
-    fn delete(&mut self, id: &str, last: Revision) {
-        let is_back = self.revision_of(id).is_some_and(|known| known > last);
-        let Some(key) = self.by_id.get(id).copied().filter(|_| !is_back) else {
+    fn remove_record(&mut self, id: &str, last: Revision) {
+        let is_newer_known = self.revision_of(id).is_some_and(|known| known > last);
+        let Some(key) = self.by_id.get(id).copied().filter(|_| !is_newer_known) else {
             return;
         };
         self.by_id.remove(id);
         if let Some(endpoint) = self.endpoints.remove(key) {
-            self.forget_address(endpoint.listed().address, key);
+            self.remove_address(endpoint.record().address, key);
         }
         for list in self.by_service.values_mut() {
             list.retain(|other| *other != key);
         }
     }
 
-    fn forget_address(&mut self, address: SocketAddr, key: EndpointKey) {
+    fn remove_address(&mut self, address: SocketAddr, key: EndpointKey) {
         if let Some(keys) = self.by_address.get_mut(&address) {
             keys.retain(|other| *other != key);
             if keys.is_empty() {
@@ -176,7 +180,7 @@
         }
         self.evacuated = zones;
         self.evacuated_as_of = as_of;
-        self.cover();
+        self.update_subset();
         true
     }
 
--- a/core/src/direct/lateness.rs
+++ b/core/src/direct/lateness.rs
@@ -14,30 +14,30 @@
 
 /// Objectives that a caller has used up for certain before it counts as late. Callers of one route differ
 /// in their patience by about two objectives.
-const OBJECTIVES_USED_UP: u32 = 2;
+const LATE_AFTER_OBJECTIVES: u32 = 2;
 
 /// How long the longest wait of a route is remembered: for one to two of these spans.
-const REMEMBERED: Duration = Duration::from_secs(10);
+const WINDOW: Duration = Duration::from_secs(10);
 
 /// The longest time that callers of one route were still willing to wait, of late.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LongestWait {
-    since: Time,
-    before: Duration,
-    now: Duration,
+pub struct LongestDeadline {
+    window_start: Time,
+    previous: Duration,
+    current: Duration,
 }
 
-impl LongestWait {
+impl LongestDeadline {
     /// Takes in a caller that still waits for `left`; says whether it is late for `objective`.
-    pub fn is_late(&mut self, left: Duration, objective: Duration, now: Time) -> bool {
-        if now.passed(self.since, REMEMBERED) {
-            let is_recent = !now.passed(self.since, REMEMBERED * 2);
-            self.before = if is_recent { self.now } else { Duration::ZERO };
-            self.now = Duration::ZERO;
-            self.since = now;
+    pub fn is_late(&mut self, remaining: Duration, objective: Duration, now: Time) -> bool {
+        if now.passed(self.window_start, WINDOW) {
+            let is_recent = !now.passed(self.window_start, WINDOW * 2);
+            self.previous = if is_recent { self.current } else { Duration::ZERO };
+            self.current = Duration::ZERO;
+            self.window_start = now;
         }
-        self.now = self.now.max(left);
-        let longest = self.now.max(self.before);
-        longest.saturating_sub(left) > objective * OBJECTIVES_USED_UP
+        self.current = self.current.max(remaining);
+        let longest = self.current.max(self.previous);
+        longest.saturating_sub(remaining) > objective * LATE_AFTER_OBJECTIVES
     }
 }
--- a/core/src/direct/replication.rs
+++ b/core/src/direct/replication.rs
@@ -16,7 +16,7 @@
 use smol_str::SmolStr;
 
 use super::catalog::CatalogParts;
-use super::endpoint::Listed;
+use super::endpoint::EndpointRecord;
 use crate::ids::Digest;
 use crate::ids::Revision;
 use crate::ids::ServiceName;
@@ -34,13 +34,13 @@
         /// Revision of the store up to which all changes are in it.
         as_of: Revision,
         /// Those that the store lists.
-        listed: Vec<Listed>,
+        listed: Vec<EndpointRecord>,
         /// Those that it no longer lists, perhaps only because they could not renew their entry while
         /// it was away. Whoever still knows them keeps them until more is known.
         lapsed: Vec<SmolStr>,
     },
     /// An endpoint is new or has changed.
-    EndpointPut(Box<Listed>),
+    EndpointPut(Box<EndpointRecord>),
     /// An endpoint is gone.
     EndpointGone {
         /// Its id.
--- a/core/src/direct/retry_after.rs
+++ b/core/src/direct/retry_after.rs
@@ -8,34 +8,34 @@
 use std::time::Duration;
 
 /// Seconds after which another entry or endpoint may serve the caller at once.
-const SOON_S: Range<f64> = 0.15..0.45;
+const SHORT_DELAY_S: Range<f64> = 0.15..0.45;
 
 /// The same while all endpoints are full. Whoever is refused then is late when it returns. Most bursts last
 /// for a second or more: callers that return as soon as above come back into the same burst.
-const FULL_S: Range<f64> = 1.0..1.9;
+const FULL_DELAY_S: Range<f64> = 1.0..1.9;
 
 /// The same of an entry that has just started. It is sent callers only while most entries of its zone start,
 /// and endpoints have to be found and may have to load.
-const STARTING_S: Range<f64> = 0.8..1.8;
+const STARTING_DELAY_S: Range<f64> = 0.8..1.8;
 
 /// Seconds over which callers return from the moment at which the first endpoint serves again: the others
 /// follow it.
-const RETURN_OVER_S: f64 = 1.0;
+const RETURN_SPREAD_S: f64 = 1.0;
 
 /// Part of a caller's time after which it returns when nobody may serve it and it is not known for how long.
 /// Weights are loaded, a zone is cut off, endpoints start again: that lasts seconds, and callers wait for up
 /// to a third of their time.
-const UNKNOWN_PART: Range<f64> = 0.25..0.33;
+const UNKNOWN_DELAY_SHARE: Range<f64> = 0.25..0.33;
 
 /// Why a caller was refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Cause {
+pub enum RefusalCause {
     /// The entry has just started.
     Starting,
     /// The entry's lease on its configuration has lapsed.
     NoLease {
         /// Whether another entry of its region still has one.
-        is_held_near: bool,
+        is_held_in_region: bool,
     },
     /// All endpoints are full.
     Full,
@@ -54,18 +54,19 @@
 }
 
 /// The time after which a caller with `left` of its time is asked to come back; `draw` from 0 to 1 spreads it.
-pub fn retry_after(cause: Cause, left: Duration, draw: f64) -> Duration {
-    let drawn = |range: &Range<f64>| range.start + (range.end - range.start) * draw;
-    let soon = drawn(&SOON_S);
-    let unknown = || soon.max(left.as_secs_f64() * drawn(&UNKNOWN_PART));
+pub fn retry_after(cause: RefusalCause, remaining: Duration, draw: f64) -> Duration {
+    let sample = |range: &Range<f64>| range.start + (range.end - range.start) * draw;
+    let short = sample(&SHORT_DELAY_S);
+    let unknown = || short.max(remaining.as_secs_f64() * sample(&UNKNOWN_DELAY_SHARE));
     let seconds = match cause {
-        Cause::Starting => drawn(&STARTING_S),
-        Cause::Full => drawn(&FULL_S),
-        Cause::Warming { warm_in } => warm_in.as_secs_f64() + RETURN_OVER_S * draw,
-        Cause::NoLease { is_held_near: true } | Cause::Other => soon,
-        Cause::NoLease { is_held_near: false } | Cause::NoEndpoint { ready_in: None } => unknown(),
-        Cause::NoEndpoint { ready_in: Some(ready_in) } => {
-            ready_in.as_secs_f64() + RETURN_OVER_S * draw
+        RefusalCause::Starting => sample(&STARTING_DELAY_S),
+        RefusalCause::Full => sample(&FULL_DELAY_S),
+        RefusalCause::Warming { warm_in } => warm_in.as_secs_f64() + RETURN_SPREAD_S * draw,
+        RefusalCause::NoLease { is_held_in_region: true } | RefusalCause::Other => short,
+        RefusalCause::NoLease { is_held_in_region: false }
+        | RefusalCause::NoEndpoint { ready_in: None } => unknown(),
+        RefusalCause::NoEndpoint { ready_in: Some(ready_in) } => {
+            ready_in.as_secs_f64() + RETURN_SPREAD_S * draw
         }
     };
     Duration::from_secs_f64(seconds)
--- a/core/src/direct/choice.rs
+++ b/core/src/direct/sampling.rs
@@ -11,34 +11,38 @@
 use super::endpoint::EndpointKey;
 
 /// Endpoints compared from each group. With more of them, entries agree too often.
-const CHOICES: usize = 2;
+const SAMPLE_SIZE: usize = 2;
 
 /// A random sample of the endpoints of one group.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sample {
-    seen: usize,
-    kept: [Option<(f64, EndpointKey)>; CHOICES],
+struct Reservoir {
+    offered: usize,
+    sampled: [Option<(f64, EndpointKey)>; SAMPLE_SIZE],
 }
 
-impl Sample {
+impl Reservoir {
     /// Reservoir sampling: each endpoint offered is kept with the same probability.
     fn offer<R: Rng>(&mut self, score: f64, key: EndpointKey, rng: &mut R) {
-        let n = if self.seen < CHOICES { self.seen } else { rng.random_range(0..=self.seen) };
-        self.seen += 1;
-        if let Some(place) = self.kept.get_mut(n) {
-            *place = Some((score, key));
+        let index = if self.offered < SAMPLE_SIZE {
+            self.offered
+        } else {
+            rng.random_range(0..=self.offered)
+        };
+        self.offered += 1;
+        if let Some(slot) = self.sampled.get_mut(index) {
+            *slot = Some((score, key));
         }
     }
 }
 
 /// Endpoints among which one is picked, those of the own region and the others apart.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Choice {
-    near: Sample,
-    far: Sample,
+pub(super) struct CandidateSample {
+    near: Reservoir,
+    far: Reservoir,
 }
 
-impl Choice {
+impl CandidateSample {
     /// An endpoint may be picked; a lower score is better.
     pub(super) fn offer<R: Rng>(
         &mut self,
@@ -53,7 +57,7 @@
 
     /// The best of the endpoints drawn.
     pub(super) fn best(&self) -> Option<EndpointKey> {
-        let kept = self.near.kept.iter().chain(&self.far.kept).flatten();
-        kept.min_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, key)| *key)
+        let sampled = self.near.sampled.iter().chain(&self.far.sampled).flatten();
+        sampled.min_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, key)| *key)
     }
 }
--- a/core/tests/direct/roster.rs
+++ b/core/tests/direct/endpoint_table.rs
@@ -1,20 +1,20 @@
 //! The roster of endpoints.
 
-mod choosing;
-mod coverage;
-mod listing;
-mod resting;
+mod ejection;
+mod selection;
+mod subset;
+mod updates;
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use mastichaven_core::Time;
 use mastichaven_core::direct::endpoint::EndpointKey;
-use mastichaven_core::direct::endpoint::Listed;
+use mastichaven_core::direct::endpoint::EndpointRecord;
 use mastichaven_core::direct::endpoint::LoadReport;
-use mastichaven_core::direct::roster::Need;
-use mastichaven_core::direct::roster::Roster;
-use mastichaven_core::direct::roster::Unavailable;
+use mastichaven_core::direct::endpoint_table::EndpointTable;
+use mastichaven_core::direct::endpoint_table::Requirements;
+use mastichaven_core::direct::endpoint_table::Unavailable;
 use mastichaven_core::ids::HostName;
 use mastichaven_core::ids::RegionName;
 use mastichaven_core::ids::Revision;
@@ -24,7 +24,7 @@
 use rand_chacha::ChaCha8Rng;
 
 const SLOTS: u32 = 16;
-const NEAR: Duration = Duration::from_millis(3);
+const ROUND_TRIP: Duration = Duration::from_millis(3);
 /// Gives an entry every place that is shared by drawing.
 const DRAW: f64 = 0.99;
 
@@ -36,23 +36,23 @@
     ChaCha8Rng::seed_from_u64(7)
 }
 
-fn roster() -> Roster {
-    roster_on("entry-1")
+fn table() -> EndpointTable {
+    table_on("entry-1")
 }
 
-fn roster_on(host: &str) -> Roster {
+fn table_on(host: &str) -> EndpointTable {
     let zones = [("lagoa", "south"), ("serra", "hills"), ("litoral", "coast")];
     let regions: HashMap<ZoneName, RegionName> =
         zones.iter().map(|(zone, region)| (ZoneName::new(zone), RegionName::new(region))).collect();
-    Roster::new(HostName::new(host), ZoneName::new("lagoa"), regions)
+    EndpointTable::new(HostName::new(host), ZoneName::new("lagoa"), regions)
 }
 
 fn address(n: u8) -> std::net::SocketAddr {
     ([10, 0, 0, n], 80).into()
 }
 
-fn listed(n: u8, zone: &str) -> Listed {
-    Listed {
+fn record(n: u8, zone: &str) -> EndpointRecord {
+    EndpointRecord {
         id: format!("i-{n}").into(),
         revision: Revision(1),
         service: ServiceName::new("redator"),
@@ -60,26 +60,26 @@
         zone: ZoneName::new(zone),
         slots: SLOTS,
         is_draining: false,
-        cold_for: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
         weights: vec![("m".into(), 1)],
         is_engine: true,
-        born: 0,
+        started_ms: 0,
     }
 }
 
 fn report(running: u32) -> LoadReport {
-    report_to(1, running)
+    report_shared_by(1, running)
 }
 
 /// A report that as many entries share.
-fn report_to(readers: u32, running: u32) -> LoadReport {
+fn report_shared_by(readers: u32, running: u32) -> LoadReport {
     LoadReport {
         running,
         waiting: 0,
-        accepts: true,
+        is_accepting: true,
         ready_in: None,
         weights: vec![("m".into(), 1)],
-        born: 0,
+        started_ms: 0,
         entries: 8,
         readers,
         is_count_complete: true,
@@ -88,26 +88,26 @@
     }
 }
 
-fn choose(roster: &mut Roster, at: Time) -> Result<EndpointKey, Unavailable> {
-    choose_with(roster, at, &mut rng())
+fn choose(table: &mut EndpointTable, at: Time) -> Result<EndpointKey, Unavailable> {
+    choose_with(table, at, &mut rng())
 }
 
 fn choose_with(
-    roster: &mut Roster,
+    table: &mut EndpointTable,
     at: Time,
     rng: &mut ChaCha8Rng,
 ) -> Result<EndpointKey, Unavailable> {
-    choose_for(roster, false, at, rng)
+    choose_for(table, false, at, rng)
 }
 
 fn choose_for(
-    roster: &mut Roster,
+    table: &mut EndpointTable,
     is_late: bool,
     at: Time,
     rng: &mut ChaCha8Rng,
 ) -> Result<EndpointKey, Unavailable> {
     let service = ServiceName::new("redator");
-    let need = Need {
+    let requirements = Requirements {
         service: &service,
         model: Some(("m", 1)),
         regions: [&[], &[]],
@@ -115,17 +115,21 @@
         cold_per_second: 36.0,
         is_late,
     };
-    roster.choose(&need, at, rng)
+    table.choose(&requirements, at, rng)
 }
 
-fn chosen(roster: &mut Roster, at: Time) -> String {
-    let key = choose(roster, at).expect("an endpoint");
-    roster.get(key).expect("on the roster").id.to_string()
+fn chosen_id(table: &mut EndpointTable, at: Time) -> String {
+    let key = choose(table, at).expect("an endpoint");
+    table.get(key).expect("on the roster").id.to_string()
 }
 
-fn choose_and_send(roster: &mut Roster, at: Time, rng: &mut ChaCha8Rng) -> Result<(), Unavailable> {
-    let key = choose_with(roster, at, rng)?;
-    roster.sent(key, at);
-    roster.left(key);
+fn choose_and_send(
+    table: &mut EndpointTable,
+    at: Time,
+    rng: &mut ChaCha8Rng,
+) -> Result<(), Unavailable> {
+    let key = choose_with(table, at, rng)?;
+    table.record_sent(key, at);
+    table.record_finished(key);
     Ok(())
 }
--- /dev/null
+++ b/core/tests/direct/endpoint_table/ejection.rs
@@ -0,0 +1,69 @@
+//! Endpoints that fail requests.
+
+use mastichaven_core::direct::endpoint::LoadReport;
+use mastichaven_core::direct::endpoint_table::Unavailable;
+
+use super::DRAW;
+use super::ROUND_TRIP;
+use super::address;
+use super::choose;
+use super::chosen_id;
+use super::now;
+use super::record;
+use super::report;
+use super::table;
+
+// An endpoint goes dark: its connections hang. Each request that is sent there costs its caller more
+// than a second.
+#[test]
+fn failed_rests_an_endpoint_that_loses_answers() {
+    let mut table = table();
+    table.upsert(record(1, "lagoa"), now(0));
+    table.upsert(record(2, "serra"), now(0));
+    for at in [0, 10] {
+        table.apply_report(address(1), &report(0), now(at), ROUND_TRIP, DRAW, now(at));
+        table.apply_report(address(2), &report(10), now(at), ROUND_TRIP, DRAW, now(at));
+        let key = choose(&mut table, now(at)).expect("an endpoint");
+        table.record_failure(key, true, now(at));
+    }
+    table.apply_report(address(1), &report(0), now(20), ROUND_TRIP, DRAW, now(20));
+    table.apply_report(address(2), &report(10), now(20), ROUND_TRIP, DRAW, now(20));
+    assert_eq!(chosen_id(&mut table, now(30)), "i-2");
+}
+
+// After its rest the endpoint may still be bad. One request shows that as well as many.
+#[test]
+fn failed_lets_one_request_probe_after_the_rest() {
+    let mut table = table();
+    table.upsert(record(1, "lagoa"), now(0));
+    table.upsert(record(2, "serra"), now(0));
+    let first = choose(&mut table, now(0)).expect("an endpoint");
+    table.record_failure(first, true, now(0));
+    table.record_failure(first, true, now(0));
+    let id = table.get(first).expect("listed").id.to_string();
+    table.apply_report(address(1), &report(0), now(2_000), ROUND_TRIP, DRAW, now(2_000));
+    table.apply_report(address(2), &report(10), now(2_000), ROUND_TRIP, DRAW, now(2_000));
+    assert_eq!(chosen_id(&mut table, now(2_001)), id);
+    table.record_sent(first, now(2_001));
+    assert_ne!(chosen_id(&mut table, now(2_002)), id);
+    table.record_finished(first);
+    table.record_success(first);
+    assert_eq!(chosen_id(&mut table, now(2_003)), id);
+}
+
+// The agent of an endpoint that is about to load cuts off what runs there. Resting it for that would
+// keep it idle for seconds after a load of a third of a second.
+#[test]
+fn failed_forgives_an_endpoint_that_loads() {
+    let mut table = table();
+    table.upsert(record(1, "lagoa"), now(0));
+    let key = choose(&mut table, now(0)).expect("an endpoint");
+    let loading = LoadReport { is_accepting: false, ..report(5) };
+    table.apply_report(address(1), &loading, now(10), ROUND_TRIP, DRAW, now(10));
+    assert_eq!(choose(&mut table, now(11)), Err(Unavailable::Full));
+    for _ in 0..5 {
+        table.record_failure(key, true, now(20));
+    }
+    table.apply_report(address(1), &report(0), now(30), ROUND_TRIP, DRAW, now(30));
+    assert_eq!(chosen_id(&mut table, now(31)), "i-1");
+}
--- /dev/null
+++ b/core/tests/direct/endpoint_table/selection.rs
@@ -0,0 +1,317 @@
+//! Which endpoint a request goes to.
+
+use std::collections::HashMap;
+use std::collections::HashSet;
+use std::time::Duration;
+
+use mastichaven_core::direct::endpoint::EndpointKey;
+use mastichaven_core::direct::endpoint::EndpointRecord;
+use mastichaven_core::direct::endpoint::LoadReport;
+use mastichaven_core::direct::endpoint::MAX_QUEUED_REQUESTS;
+use mastichaven_core::direct::endpoint_table::EndpointTable;
+use mastichaven_core::direct::endpoint_table::Unavailable;
+use mastichaven_core::ids::Revision;
+use mastichaven_core::ids::ServiceName;
+use mastichaven_core::ids::ZoneName;
+use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
+
+use super::DRAW;
+use super::ROUND_TRIP;
+use super::SLOTS;
+use super::address;
+use super::choose;
+use super::choose_and_send;
+use super::choose_for;
+use super::choose_with;
+use super::chosen_id;
+use super::now;
+use super::record;
+use super::report;
+use super::report_shared_by;
+use super::rng;
+use super::table;
+
+#[test]
+fn choose_prefers_the_least_load_then_the_own_zone() {
+    let mut table = table();
+    table.upsert(record(1, "lagoa"), now(0));
+    table.upsert(record(2, "serra"), now(0));
+    table.apply_report(address(1), &report(6), now(0), ROUND_TRIP, DRAW, now(0));
+    table.apply_report(address(2), &report(6), now(0), ROUND_TRIP, DRAW, now(0));
+    assert_eq!(chosen_id(&mut table, now(1)), "i-1");
+    table.apply_report(address(1), &report(15), now(2), ROUND_TRIP, DRAW, now(2));
+    assert_eq!(chosen_id(&mut table, now(3)), "i-2");
+}
+
+// An engine has just loaded a version and is free. Eight entries that each see it as the least loaded
+// send it a burst of prompts, and all its streams pause while it reads them.
+#[test]
+fn choose_does_not_flood_an_engine_that_became_free() {
+    let mut rng = rng();
+    let mut to_free = 0;
+    for _ in 0..8 {
+        let mut table = table();
+        table.set_entries(8);
+        for n in 1..=8 {
+            table.upsert(record(n, "lagoa"), now(0));
+            let running = if n == 1 { 0 } else { 10 };
+            table.apply_report(
+                address(n),
+                &report_shared_by(8, running),
+                now(0),
+                ROUND_TRIP,
+                DRAW,
+                now(0),
+            );
+        }
+        for ms in [10, 40, 70, 100] {
+            let key = choose_with(&mut table, now(ms), &mut rng).expect("an endpoint");
+            table.record_sent(key, now(ms));
+            to_free += u32::from(table.get(key).expect("listed").id == "i-1");
+        }
+    }
+    // More than the equal share of 4, as it is free, and less than a prompt each 8 ms.
+    assert!((5..=12).contains(&to_free), "{to_free} of 32 within 0.1 s");
+}
+
+// Requests that are sent between two reports are not in the reports. Without counting them, an entry
+// would send its whole burst to the endpoint that was least loaded a moment ago.
+#[test]
+fn choose_counts_own_requests_between_reports() {
+    let mut table = table();
+    for n in 1..=4 {
+        table.upsert(record(n, "lagoa"), now(0));
+        table.apply_report(address(n), &report(4), now(0), ROUND_TRIP, DRAW, now(0));
+    }
+    let mut rng = rng();
+    let mut sent: HashMap<String, u32> = HashMap::new();
+    for _ in 0..32 {
+        let key = choose_with(&mut table, now(10), &mut rng).expect("an endpoint");
+        table.record_sent(key, now(10));
+        *sent.entry(table.get(key).expect("listed").id.to_string()).or_default() += 1;
+    }
+    assert!(sent.values().all(|count| (6..=10).contains(count)), "{sent:?}");
+}
+
+// A burst fills all endpoints. A request that waits behind more than a few others is late anyway, so
+// its caller is better told at once to come back.
+#[test]
+fn choose_refuses_when_all_are_full() {
+    let mut table = table();
+    table.upsert(record(1, "lagoa"), now(0));
+    table.apply_report(
+        address(1),
+        &report(SLOTS + MAX_QUEUED_REQUESTS),
+        now(0),
+        ROUND_TRIP,
+        DRAW,
+        now(0),
+    );
+    assert_eq!(choose(&mut table, now(1)), Err(Unavailable::Full));
+    table.apply_report(address(1), &report(SLOTS), now(2), ROUND_TRIP, DRAW, now(2));
+    assert!(choose(&mut table, now(3)).is_ok());
+}
+
+// An endpoint drains or its zone is taken out. A request sent there would be cut off when it stops.
+#[test]
+fn choose_avoids_draining_endpoints_and_evacuated_zones() {
+    let mut table = table();
+    table.upsert(record(1, "lagoa"), now(0));
+    table.upsert(EndpointRecord { is_draining: true, ..record(2, "serra") }, now(0));
+    assert_eq!(chosen_id(&mut table, now(1)), "i-1");
+    table.set_evacuated(HashSet::from([ZoneName::new("lagoa")]), Revision(2));
+    assert_eq!(choose(&mut table, now(2)), Err(Unavailable::NoEndpoint));
+    table.set_evacuated(HashSet::new(), Revision(3));
+    assert_eq!(chosen_id(&mut table, now(3)), "i-1");
+}
+
+// An endpoint with an older version than allowed, or with none, would answer from wrong weights.
+#[test]
+fn choose_needs_the_weights() {
+    let mut table = table();
+    table.upsert(EndpointRecord { weights: Vec::new(), ..record(1, "lagoa") }, now(0));
+    assert_eq!(choose(&mut table, now(1)), Err(Unavailable::NoEndpoint));
+    // Its agent tells of the weights before the list does.
+    table.apply_report(address(1), &report(0), now(2), ROUND_TRIP, DRAW, now(2));
+    assert!(choose(&mut table, now(3)).is_ok());
+}
+
+// The link of an endpoint is squeezed by weights or by the network. Requests reach it seconds later,
+// when their callers have left, and it works on them in vain.
+#[test]
+fn choose_avoids_an_endpoint_behind_a_full_link() {
+    let mut table = table();
+    table.upsert(record(1, "lagoa"), now(0));
+    table.upsert(record(2, "litoral"), now(0));
+    table.apply_report(address(1), &report(0), now(0), Duration::from_millis(400), DRAW, now(0));
+    table.apply_report(address(2), &report(12), now(0), ROUND_TRIP, DRAW, now(0));
+    assert_eq!(chosen_id(&mut table, now(1)), "i-2");
+}
+
+// Asks wait behind seconds of other bytes on the way to an agent. Its reports still come at once,
+// but they answer old asks.
+#[test]
+fn choose_avoids_an_endpoint_whose_agent_hears_nothing() {
+    let mut table = table();
+    table.upsert(record(1, "lagoa"), now(0));
+    table.upsert(record(2, "litoral"), now(0));
+    table.apply_report(address(1), &report(0), now(0), ROUND_TRIP, DRAW, now(1_000));
+    table.apply_report(address(2), &report(12), now(900), ROUND_TRIP, DRAW, now(1_000));
+    assert_eq!(chosen_id(&mut table, now(1_001)), "i-2");
+}
+
+// All agents are killed at once and report nothing, while the endpoints go on. Callers must not be
+// refused for that.
+#[test]
+fn choose_goes_on_without_any_report() {
+    let mut table = table();
+    table.upsert(record(1, "lagoa"), now(0));
+    table.upsert(record(2, "serra"), now(0));
+    table.apply_report(address(1), &report(0), now(0), ROUND_TRIP, DRAW, now(0));
+    table.apply_report(address(2), &report(0), now(0), ROUND_TRIP, DRAW, now(0));
+    assert!(choose(&mut table, now(5_000)).is_ok());
+}
+
+// Under lasting overload all endpoints are full, and whenever a request ends all entries learn of the
+// place at the same moment. Were each to send a request there, the queue would be as long as there
+// are entries, first events would come after the objective, and callers would wait for late answers.
+#[test]
+fn choose_shares_last_place_among_entries() {
+    let entries = 8;
+    let mut sent = 0;
+    let reports = 200;
+    for n in 0..reports {
+        for entry in 0..entries {
+            let mut table = table();
+            table.set_entries(entries);
+            table.upsert(record(1, "lagoa"), now(0));
+            let draw = f64::from((n * 7 + entry * 25) % 200) / 200.0;
+            let one_left = report_shared_by(entries, SLOTS + MAX_QUEUED_REQUESTS - 1);
+            table.apply_report(address(1), &one_left, now(0), ROUND_TRIP, draw, now(0));
+            while let Ok(key) = choose(&mut table, now(1)) {
+                table.record_sent(key, now(1));
+                sent += 1;
+            }
+        }
+    }
+    let a_report = f64::from(sent) / f64::from(reports);
+    assert!((1.0..=3.1).contains(&a_report), "{a_report} requests for one place");
+}
+
+// Forty entries hear the same reports; one engine of thirty has just become nearly free. Until its next
+// report all of them prefer it, its prompts queue up, and their callers wait past their objective.
+#[test]
+fn choose_does_not_send_all_entries_to_the_same_engine() {
+    const ROUNDS: u32 = 200;
+    const ENTRIES: u32 = 40;
+    // A prompt takes up to 60 ms to read; what comes after six at once is too late for 400 ms.
+    const IN_TIME: u32 = 6;
+    let mut rng = rng();
+    let mut late = 0;
+    for _ in 0..ROUNDS {
+        let counts = one_request_each(ENTRIES, 30, &mut rng);
+        late += counts.values().map(|count| count.saturating_sub(IN_TIME)).sum::<u32>();
+    }
+    // The aim is a first token in time for 95 in 100.
+    assert!(late * 20 <= ROUNDS * ENTRIES, "{late} of {} late", ROUNDS * ENTRIES);
+}
+
+/// One request from each entry, all within a moment: how many each engine gets.
+fn one_request_each(entries: u32, engines: u8, rng: &mut ChaCha8Rng) -> HashMap<EndpointKey, u32> {
+    let mut counts: HashMap<EndpointKey, u32> = HashMap::new();
+    for _ in 0..entries {
+        let mut table = table();
+        table.set_entries(entries);
+        for n in 1..=engines {
+            table.upsert(record(n, "lagoa"), now(0));
+            let running = if n == 1 { 1 } else { 8 };
+            table.apply_report(
+                address(n),
+                &report_shared_by(entries, running),
+                now(0),
+                ROUND_TRIP,
+                rng.random(),
+                now(0),
+            );
+        }
+        let key = choose_with(&mut table, now(1), rng).expect("an endpoint");
+        *counts.entry(key).or_default() += 1;
+    }
+    counts
+}
+
+// Demand is above what the engines can serve, and callers that were refused come back. A place that
+// becomes free goes to a caller who can still be answered in time, not to one who is late already.
+#[test]
+fn choose_keeps_last_places_from_late_requests() {
+    let mut table = table();
+    table.upsert(record(1, "lagoa"), now(0));
+    table.apply_report(address(1), &report(SLOTS - 1), now(0), ROUND_TRIP, DRAW, now(0));
+    assert_eq!(choose_for(&mut table, true, now(1), &mut rng()), Err(Unavailable::Full));
+    assert!(choose_for(&mut table, false, now(1), &mut rng()).is_ok());
+    table.apply_report(address(1), &report(SLOTS / 2), now(2), ROUND_TRIP, DRAW, now(2));
+    assert!(choose_for(&mut table, true, now(3), &mut rng()).is_ok());
+}
+
+// Callers refused beside cold endpoints were told that all are full, and came back before any was warm.
+#[test]
+fn choose_distinguishes_cold_endpoints_from_full_ones() {
+    let mut table = table();
+    table.upsert(
+        EndpointRecord { cold_remaining: Duration::from_secs(3), ..record(1, "lagoa") },
+        now(0),
+    );
+    let mut rng = rng();
+    let refusals: Vec<Unavailable> =
+        (0..300).filter_map(|ms| choose_and_send(&mut table, now(ms), &mut rng).err()).collect();
+    assert!(!refusals.is_empty());
+    assert!(refusals.iter().all(|refusal| *refusal == Unavailable::Warming));
+    let service = ServiceName::new("redator");
+    assert_eq!(table.warm_in(&service, now(1_000)), Duration::from_secs(2));
+    assert_eq!(table.warm_in(&service, now(3_000)), Duration::ZERO);
+}
+
+// All agents were restarted and have heard only some of the entries. The few that they tell of would each
+// send a cold endpoint what is meant for all.
+#[test]
+fn entries_counted_leaves_bounds_until_the_count_is_complete() {
+    let mut table = table();
+    table.upsert(
+        EndpointRecord { cold_remaining: Duration::from_secs(3), ..record(1, "lagoa") },
+        now(0),
+    );
+    table.record_entry_count(1, false, now(0));
+    let sent = cold_sends(&mut table, 0);
+    assert_eq!(table.entries(), 1);
+    assert!(sent <= 1, "{sent} in a second");
+    table.record_entry_count(1, true, now(1_000));
+    assert!(cold_sends(&mut table, 1_000) > 10);
+}
+
+/// Requests that the roster lets through within a second.
+fn cold_sends(table: &mut EndpointTable, from_ms: u64) -> u32 {
+    let mut rng = rng();
+    let mut sent = 0;
+    for ms in from_ms..from_ms + 1_000 {
+        sent += u32::from(choose_and_send(table, now(ms), &mut rng).is_ok());
+    }
+    sent
+}
+
+#[test]
+fn ready_in_is_that_of_the_first_endpoint() {
+    let mut table = table();
+    let service = ServiceName::new("redator");
+    table.upsert(EndpointRecord { weights: Vec::new(), ..record(1, "lagoa") }, now(0));
+    table.upsert(EndpointRecord { weights: Vec::new(), ..record(2, "lagoa") }, now(0));
+    assert_eq!(table.ready_in(&service, now(1)), None);
+    for (n, ms) in [(1, 900), (2, 600)] {
+        let ready_in = Some(Duration::from_millis(ms));
+        let loading = LoadReport { weights: Vec::new(), ready_in, ..report(0) };
+        table.apply_report(address(n), &loading, now(10), ROUND_TRIP, DRAW, now(10));
+    }
+    assert_eq!(table.ready_in(&service, now(110)), Some(Duration::from_millis(500)));
+    // What an agent said a second ago no longer counts.
+    assert_eq!(table.ready_in(&service, now(1_110)), None);
+}
--- a/core/tests/direct/lateness.rs
+++ b/core/tests/direct/lateness.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use mastichaven_core::Time;
-use mastichaven_core::direct::lateness::LongestWait;
+use mastichaven_core::direct::lateness::LongestDeadline;
 
 const OBJECTIVE: Duration = Duration::from_millis(400);
 
@@ -17,7 +17,7 @@
 // push out callers that could still be answered in time.
 #[test]
 fn is_late_knows_callers_that_come_back() {
-    let mut longest = LongestWait::default();
+    let mut longest = LongestDeadline::default();
     assert!(!longest.is_late(secs(6.0), OBJECTIVE, at(1)));
     assert!(!longest.is_late(secs(5.5), OBJECTIVE, at(1)));
     assert!(longest.is_late(secs(4.8), OBJECTIVE, at(2)));
@@ -26,7 +26,7 @@
 // One caller with far more patience than all others must not make these late for ever.
 #[test]
 fn is_late_forgets_an_unusual_caller() {
-    let mut longest = LongestWait::default();
+    let mut longest = LongestDeadline::default();
     assert!(!longest.is_late(secs(60.0), OBJECTIVE, at(1)));
     assert!(longest.is_late(secs(6.0), OBJECTIVE, at(2)));
     assert!(longest.is_late(secs(6.0), OBJECTIVE, at(12)));
@@ -36,7 +36,7 @@
 // After a quiet night the first callers are compared with nothing that is long gone.
 #[test]
 fn is_late_starts_anew_after_a_pause() {
-    let mut longest = LongestWait::default();
+    let mut longest = LongestDeadline::default();
     assert!(!longest.is_late(secs(60.0), OBJECTIVE, at(1)));
     assert!(!longest.is_late(secs(6.0), OBJECTIVE, at(100)));
 }
--- a/core/tests/direct/main.rs
+++ b/core/tests/direct/main.rs
@@ -2,13 +2,13 @@
 
 mod caches;
 mod catalog;
+mod endpoint_table;
 mod events;
 mod freshness;
 mod lateness;
 mod replication;
 mod retry_after;
 mod rollout;
-mod roster;
 mod shares;
 mod subscribers;
 mod versions;
--- a/core/tests/direct/shares.rs
+++ b/core/tests/direct/shares.rs
@@ -1,9 +1,9 @@
 use std::time::Duration;
 
 use mastichaven_core::Time;
-use mastichaven_core::direct::shares::ColdTurns;
+use mastichaven_core::direct::shares::ColdStartPacer;
 use mastichaven_core::direct::shares::EntryCount;
-use mastichaven_core::direct::shares::RepeatBudget;
+use mastichaven_core::direct::shares::SharedRetryBudget;
 use proptest::prop_assert;
 use proptest::proptest;
 use rand::RngExt;
@@ -23,16 +23,16 @@
         requests in proptest::collection::vec((0usize..60, 0u64..20_000), 1..1_500),
     ) {
         let mut budgets =
-            vec![RepeatBudget::new(RATIO, SLACK, WINDOW); entries as usize];
+            vec![SharedRetryBudget::new(RATIO, SLACK, WINDOW); entries as usize];
         let mut times: Vec<(u64, usize)> =
             requests.iter().map(|(entry, at)| (*at, entry % entries as usize)).collect();
         times.sort_unstable();
         let mut spent = Vec::new();
         for (at, entry) in &times {
             let now = Time::from_millis(*at);
-            budgets[*entry].first(now);
+            budgets[*entry].record_first_attempt(now);
             for _ in 0..3 {
-                if budgets[*entry].spend(entries, now) {
+                if budgets[*entry].try_spend(entries, now) {
                     spent.push(*at);
                 }
             }
@@ -60,13 +60,13 @@
 /// `wants` says that they have something to send.
 fn sends(entries: u32, per_second: f64, seed: u64, wants: impl Fn(u64) -> bool) -> Vec<u64> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut turns = vec![ColdTurns::default(); entries as usize];
+    let mut pacers = vec![ColdStartPacer::default(); entries as usize];
     let mut sent = Vec::new();
     for ms in (0..20_000).filter(|ms| wants(*ms)) {
         let now = Time::from_millis(ms);
-        for turn in &mut turns {
-            if turn.may_send(per_second, entries, rng.random(), now) {
-                turn.sent(now);
+        for pacer in &mut pacers {
+            if pacer.may_send(per_second, entries, rng.random(), now) {
+                pacer.record_sent(now);
                 sent.push(ms);
             }
         }
@@ -116,9 +116,9 @@
 fn for_bounds_takes_many_entries_until_an_agent_has_counted() {
     let mut count = EntryCount::default();
     let now = Time::from_millis;
-    assert!(count.for_bounds() >= 381);
-    count.counted(40, now(600));
-    assert_eq!(count.for_bounds(), 40);
+    assert!(count.for_limits() >= 381);
+    count.record_count(40, now(600));
+    assert_eq!(count.for_limits(), 40);
 }
 
 // The agents are restarted one after the other and count few entries at first.
@@ -126,9 +126,9 @@
 fn for_bounds_goes_by_the_highest_count_of_late() {
     let mut count = EntryCount::default();
     let now = Time::from_millis;
-    count.counted(40, now(0));
-    count.counted(2, now(1_500));
-    assert_eq!(count.for_bounds(), 40);
-    count.counted(3, now(2_100));
-    assert_eq!(count.for_bounds(), 3);
+    count.record_count(40, now(0));
+    count.record_count(2, now(1_500));
+    assert_eq!(count.for_limits(), 40);
+    count.record_count(3, now(2_100));
+    assert_eq!(count.for_limits(), 3);
 }
--- a/node/src/direct/agent/reports.rs
+++ b/node/src/direct/agent/reports.rs
@@ -78,7 +78,7 @@
             // Only a link that carries no live requests is free for weights.
             self.swarm.set_beside_requests(!report.load.weights.is_empty());
             let mut load = report.load.clone();
-            load.accepts &= !self.is_ordering.get();
+            load.is_accepting &= !self.is_ordering.get();
             let now = self.clock.now();
             let count = self.subscribers.borrow().count(self.started, now);
             load.entries = count.entries;
@@ -102,9 +102,9 @@
 
     /// An endpoint that started again has lost its layers and, after a loss of power, what was staged.
     fn note_life(&self, report: &Report) {
-        let before = self.report.borrow().as_ref().map(|report| report.load.born);
-        if before != Some(report.load.born) {
-            slog::info!(self.log, "endpoint seen"; "born" => report.load.born,
+        let before = self.report.borrow().as_ref().map(|report| report.load.started_ms);
+        if before != Some(report.load.started_ms) {
+            slog::info!(self.log, "endpoint seen"; "born" => report.load.started_ms,
                 "weights" => report.load.weights.first().map_or(0, |(_, version)| *version));
         }
     }
@@ -151,5 +151,5 @@
 
 /// Whether two reports say the same of what the endpoint may be sent, whatever its load.
 fn serves_alike(a: &LoadReport, b: &LoadReport) -> bool {
-    (a.accepts, a.born, &a.weights) == (b.accepts, b.born, &b.weights)
+    (a.is_accepting, a.started_ms, &a.weights) == (b.is_accepting, b.started_ms, &b.weights)
 }
--- a/node/src/direct/agent/setup.rs
+++ b/node/src/direct/agent/setup.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use mastichaven_core::direct::catalog::ModelShape;
-use mastichaven_core::direct::endpoint::Listed;
+use mastichaven_core::direct::endpoint::EndpointRecord;
 use mastichaven_core::direct::replication::Hello;
 use mastichaven_core::direct::replication::PeerEndpoint;
 use mastichaven_core::direct::replication::PeerList;
@@ -179,7 +179,8 @@
             |service: &ServiceName| if mine.as_ref() == Some(service) { layers } else { None };
         let listed =
             objects.iter().filter_map(|object| endpoints::scan_endpoint(object, layers_of));
-        let peer = |listed: Listed| PeerEndpoint { address: listed.address, zone: listed.zone };
+        let peer =
+            |listed: EndpointRecord| PeerEndpoint { address: listed.address, zone: listed.zone };
         self.set_peers(listed.filter(|listed| listed.is_engine).map(peer).collect());
     }
 
--- a/node/src/direct/attempt.rs
+++ b/node/src/direct/attempt.rs
@@ -12,7 +12,7 @@
 use mastichaven_core::Time;
 use mastichaven_core::direct::catalog::Repeat;
 use mastichaven_core::direct::endpoint::EndpointKey;
-use mastichaven_core::direct::endpoint::Listed;
+use mastichaven_core::direct::endpoint::EndpointRecord;
 use mastichaven_core::direct::versions::Versions;
 use mastichaven_platform::answer;
 use mastichaven_platform::answer::Verdict;
@@ -49,7 +49,7 @@
 /// An answer that has begun.
 #[derive(Debug)]
 pub(super) struct Run {
-    pub(super) listed: Listed,
+    pub(super) listed: EndpointRecord,
     pub(super) link: Link,
     pub(super) place: Place,
     pub(super) response: Response<Incoming>,
@@ -75,7 +75,7 @@
     trail: &mut Trail,
     resume_after: Option<&str>,
 ) -> Outcome {
-    let Some(listed) = state.roster.borrow().get(endpoint).cloned() else {
+    let Some(listed) = state.endpoints.borrow().get(endpoint).cloned() else {
         return Outcome::NotRun;
     };
     trail.tried.push(endpoint);
@@ -99,8 +99,8 @@
             }
         }
     };
-    // The roster may have changed while the connection was made.
-    if !state.roster.borrow().is_open(endpoint) {
+    // The endpoint table may have changed while the connection was made.
+    if !state.endpoints.borrow().is_routable(endpoint) {
         return Outcome::NotRun;
     }
     if !is_kept && !link.ready().await {
@@ -111,7 +111,7 @@
     let req = endpoint_request(state, call, &listed, left, resume_after, now);
     trail.arrivals += 1;
     if trail.arrivals == 1 {
-        state.with_budget(&call.service, |budget| budget.first(now));
+        state.with_budget(&call.service, |budget| budget.record_first_attempt(now));
     }
     let patience = match call.route.repeat {
         Repeat::Idempotent => call.route.objective.mul_f64(PATIENCE_OBJECTIVES),
@@ -135,20 +135,20 @@
     match answer::judge(response.status(), response.headers(), id) {
         Verdict::Success => Outcome::Answering(Box::new(Run { listed, link, place, response })),
         Verdict::NotRun => {
-            state.roster.borrow_mut().refused(endpoint, state.now());
+            state.endpoints.borrow_mut().record_refusal(endpoint, state.now());
             state.metrics.count("endpoint_refusals");
             keep_after(state, &listed, link, response).await;
             Outcome::NotRun
         }
         Verdict::Misdirected => {
-            state.roster.borrow_mut().misdirected(endpoint, state.now());
+            state.endpoints.borrow_mut().record_misdirected(endpoint, state.now());
             state.metrics.count("endpoint_misdirected");
             Outcome::NotRun
         }
         Verdict::Failed => {
             trail.may_have_run = true;
             state.metrics.count("endpoint_failures");
-            state.roster.borrow_mut().failed(endpoint, false, state.now());
+            state.endpoints.borrow_mut().record_failure(endpoint, false, state.now());
             failed_answer(state, &listed, link, response).await
         }
         Verdict::Foreign => {
@@ -162,7 +162,7 @@
 fn endpoint_request(
     state: &State,
     call: &Call,
-    listed: &Listed,
+    listed: &EndpointRecord,
     left: Duration,
     resume_after: Option<&str>,
     now: Time,
@@ -192,12 +192,12 @@
 pub(super) fn note_failure(
     state: &State,
     call: &Call,
-    listed: &Listed,
+    listed: &EndpointRecord,
     endpoint: EndpointKey,
     e: LinkError,
     at: &'static str,
 ) {
-    state.roster.borrow_mut().failed(endpoint, true, state.now());
+    state.endpoints.borrow_mut().record_failure(endpoint, true, state.now());
     state.metrics.count("endpoint_losses");
     slog::info!(state.log, "attempt failed";
         "id" => call.head.id.as_deref().unwrap_or_default(),
@@ -206,7 +206,12 @@
 }
 
 /// Reads the short rest of an answer, so that its connection can be used again.
-async fn keep_after(state: &State, listed: &Listed, mut link: Link, response: Response<Incoming>) {
+async fn keep_after(
+    state: &State,
+    listed: &EndpointRecord,
+    mut link: Link,
+    response: Response<Incoming>,
+) {
     let span = pool::idle_span(response.headers());
     let rest = timeout(REST_WITHIN, link::whole(response.into_body(), MAX_ANSWER_LEN)).await;
     if matches!(rest, Ok(Ok(_))) && link.ready().await {
@@ -216,7 +221,7 @@
 
 async fn failed_answer(
     state: &State,
-    listed: &Listed,
+    listed: &EndpointRecord,
     mut link: Link,
     response: Response<Incoming>,
 ) -> Outcome {
--- a/node/src/direct/chunk_server.rs
+++ b/node/src/direct/chunk_server.rs
@@ -153,7 +153,7 @@
 /// Takes a chunk from a host whose endpoint has loaded the version: one that has been in use for long need
 /// not leave the origin once more for a zone that has lost power.
 async fn fetch_from_holder(state: &State, req: &ChunkRequest) -> Option<Bytes> {
-    let holders = state.roster.borrow().holders(&req.model, req.version, state.now());
+    let holders = state.endpoints.borrow().holders(&req.model, req.version, state.now());
     let holder = state.with_rng(|rng| holders.choose(rng).copied())?;
     let address = SocketAddr::new(holder.ip(), state.cfg.agent_port);
     let version = version_digest(&req.model, req.version);
--- a/node/src/direct/forward.rs
+++ b/node/src/direct/forward.rs
@@ -121,7 +121,7 @@
             return Err(e);
         }
     };
-    state.roster.borrow_mut().succeeded(place.endpoint);
+    state.endpoints.borrow_mut().record_success(place.endpoint);
     drop(place);
     if link.ready().await {
         state.pool.put(listed.address, &listed.id, link, span, state.now());
--- a/node/src/direct/gateway.rs
+++ b/node/src/direct/gateway.rs
@@ -17,7 +17,7 @@
 use mastichaven_core::direct::catalog::Catalog;
 use mastichaven_core::direct::catalog::Customer;
 use mastichaven_core::direct::catalog::Route;
-use mastichaven_core::direct::retry_after::Cause;
+use mastichaven_core::direct::retry_after::RefusalCause;
 use mastichaven_platform::call;
 use mastichaven_platform::call::CallHead;
 use rand::RngExt;
@@ -62,15 +62,17 @@
         }
     }
 
-    fn cause(self, state: &State) -> Cause {
+    fn cause(self, state: &State) -> RefusalCause {
         match self {
-            Barred::Starting => Cause::Starting,
-            Barred::Stale => Cause::NoLease { is_held_near: state.has_fresh_neighbour.get() },
+            Barred::Starting => RefusalCause::Starting,
+            Barred::Stale => {
+                RefusalCause::NoLease { is_held_in_region: state.has_fresh_neighbour.get() }
+            }
             Barred::UnknownRoute
             | Barred::UnknownKey
             | Barred::BodyTooLong
             | Barred::BodyTooSlow
-            | Barred::BodyBroken => Cause::Other,
+            | Barred::BodyBroken => RefusalCause::Other,
         }
     }
 
@@ -196,18 +198,20 @@
     }
 }
 
-fn cause_of(state: &State, refusal: Refusal, call: &Call) -> Cause {
+fn cause_of(state: &State, refusal: Refusal, call: &Call) -> RefusalCause {
     match refusal {
-        Refusal::Full => Cause::Full,
+        Refusal::Full => RefusalCause::Full,
         Refusal::Warming => {
-            let warm_in = state.roster.borrow().warm_in(&call.service, state.now());
-            Cause::Warming { warm_in }
+            let warm_in = state.endpoints.borrow().warm_in(&call.service, state.now());
+            RefusalCause::Warming { warm_in }
         }
         Refusal::NoEndpoint => {
-            let ready_in = state.roster.borrow().ready_in(&call.service, state.now());
-            Cause::NoEndpoint { ready_in }
+            let ready_in = state.endpoints.borrow().ready_in(&call.service, state.now());
+            RefusalCause::NoEndpoint { ready_in }
+        }
+        Refusal::Declined | Refusal::NotStarted | Refusal::Lost | Refusal::TimedOut => {
+            RefusalCause::Other
         }
-        Refusal::Declined | Refusal::NotStarted | Refusal::Lost | Refusal::TimedOut => Cause::Other,
     }
 }
 
--- a/node/src/direct/load_reports.rs
+++ b/node/src/direct/load_reports.rs
@@ -17,9 +17,9 @@
 use mastichaven_core::direct::catalog::Catalog;
 use mastichaven_core::direct::catalog::ModelSetup;
 use mastichaven_core::direct::endpoint::LoadReport;
+use mastichaven_core::direct::endpoint_table::Reach;
 use mastichaven_core::direct::replication::Offer;
 use mastichaven_core::direct::replication::time_before;
-use mastichaven_core::direct::roster::Reach;
 use mastichaven_core::direct::versions::CurrentWeights;
 use mastichaven_core::ids::ServiceName;
 use rand::RngExt;
@@ -154,10 +154,10 @@
             return;
         };
         let draw = self.with_rng(|rng| rng.random::<f64>());
-        let mut roster = self.roster.borrow_mut();
-        roster.entries_counted(report.entries, report.is_count_complete, now);
+        let mut endpoints = self.endpoints.borrow_mut();
+        endpoints.record_entry_count(report.entries, report.is_count_complete, now);
         let asked = Time::from_micros(msg.asked_us);
-        if roster.is_near(address) {
+        if endpoints.is_in_own_region(address) {
             self.has_fresh_neighbour.set(report.relay.is_some_and(|relay| relay != self.cfg.ip));
         }
         if let Some(relay) = report.relay {
@@ -167,8 +167,8 @@
             self.root.set(self.root.get().note(root, now));
         }
         let round_trip = now.since(sent);
-        roster.reported(address, report, asked, round_trip, draw, now);
-        drop(roster);
+        endpoints.apply_report(address, report, asked, round_trip, draw, now);
+        drop(endpoints);
         self.freed.notify_one();
     }
 
@@ -197,7 +197,7 @@
     let mut is_urgent = false;
     let mut knows_engines = false;
     loop {
-        if !knows_engines && !state.roster.borrow().is_empty() {
+        if !knows_engines && !state.endpoints.borrow().is_empty() {
             // Agents that start at the same time count the entries that announce themselves.
             knows_engines = true;
             is_urgent = false;
@@ -206,7 +206,9 @@
         ask_round(&state, &socket, &known, |reach| match reach {
             Reach::Near => true,
             Reach::Far => !is_urgent && round.is_multiple_of(FAR_EVERY),
-            Reach::Uncovered => !is_urgent && round.is_multiple_of(announce_every(&state, round)),
+            Reach::OutsideSubset => {
+                !is_urgent && round.is_multiple_of(announce_every(&state, round))
+            }
         });
         if !is_urgent {
             round = round.wrapping_add(1);
@@ -225,9 +227,9 @@
 /// Asks the agents of the engines that are `due`.
 fn ask_round(state: &State, socket: &UdpSocket, known: &KnownSetups, due: impl Fn(Reach) -> bool) {
     let mut requests = ReportRequests::new(state);
-    let roster = state.roster.borrow();
-    known.borrow_mut().retain(|address, _| roster.has_address(*address));
-    for (listed, reach) in roster.engines().filter(|(_, reach)| due(*reach)) {
+    let endpoints = state.endpoints.borrow();
+    known.borrow_mut().retain(|address, _| endpoints.has_address(*address));
+    for (listed, reach) in endpoints.engines().filter(|(_, reach)| due(*reach)) {
         let known_id = known.borrow().get(&listed.address).copied().unwrap_or(0);
         match requests.bytes(&listed.service, reach, known_id) {
             Ok(bytes) => {
@@ -261,7 +263,7 @@
             sent_us: state.now().as_micros(),
             offer: state.offer(),
             is_beside_origin: state.is_beside_origin(),
-            entries: state.roster.borrow().entries_known(),
+            entries: state.endpoints.borrow().counted_entries(),
             weights: state.current_weights(),
             catalog: state.catalog.borrow().clone(),
             setups: HashMap::new(),
@@ -280,7 +282,8 @@
         let setup_of = || catalog.and_then(|catalog| catalog.setup(service));
         let setup = self.setups.entry(service.clone()).or_insert_with(setup_of);
         // Agents that do not report do not tell what they know; their own region's entries see to it.
-        let is_unknown = |setup: &&ModelSetup| reach != Reach::Uncovered && setup.id() != known_id;
+        let is_unknown =
+            |setup: &&ModelSetup| reach != Reach::OutsideSubset && setup.id() != known_id;
         let missing = setup.as_ref().filter(is_unknown);
         let key = (service.clone(), reach, missing.is_some());
         if let Some(bytes) = self.encoded.get(&key) {
@@ -294,7 +297,7 @@
             is_far: reach != Reach::Near,
             is_beside_origin: self.is_beside_origin,
             entries: self.entries,
-            wants_reports: reach != Reach::Uncovered,
+            wants_reports: reach != Reach::OutsideSubset,
             offer: self.offer,
             setup,
         };
--- a/node/src/direct/placement.rs
+++ b/node/src/direct/placement.rs
@@ -5,8 +5,8 @@
 
 use mastichaven_core::Time;
 use mastichaven_core::direct::endpoint::EndpointKey;
-use mastichaven_core::direct::roster::Need;
-use mastichaven_core::direct::roster::Unavailable;
+use mastichaven_core::direct::endpoint_table::Requirements;
+use mastichaven_core::direct::endpoint_table::Unavailable;
 use tokio::time::timeout;
 
 use super::call::Call;
@@ -59,7 +59,7 @@
         let now = state.now();
         match choose(state, call, trail, now) {
             Ok(endpoint) => break endpoint,
-            Err(Unavailable::None) => return Err(give_up(trail, Refusal::NoEndpoint)),
+            Err(Unavailable::NoEndpoint) => return Err(give_up(trail, Refusal::NoEndpoint)),
             Err(Unavailable::Full) if now >= wait_until => {
                 return Err(give_up(trail, Refusal::Full));
             }
@@ -73,8 +73,8 @@
     };
     let now = state.now();
     if trail.arrivals > 0 {
-        let entries = state.roster.borrow().entries();
-        if !state.with_budget(&call.service, |budget| budget.spend(entries, now)) {
+        let entries = state.endpoints.borrow().entries();
+        if !state.with_budget(&call.service, |budget| budget.try_spend(entries, now)) {
             state.metrics.count("retries_over_budget");
             return Err(give_up(trail, Refusal::Declined));
         }
@@ -91,7 +91,7 @@
 ) -> std::result::Result<EndpointKey, Unavailable> {
     let oldest = call.head.model.as_deref().map(|model| (model, state.oldest_weights(model, now)));
     let customer_regions = call.customer.as_ref().map(|c| c.regions.as_slice());
-    let need = Need {
+    let requirements = Requirements {
         service: &call.service,
         model: oldest,
         regions: [&call.route.regions, customer_regions.unwrap_or_default()],
@@ -99,6 +99,6 @@
         cold_per_second: call.cold_per_second,
         is_late: call.is_late,
     };
-    let mut roster = state.roster.borrow_mut();
-    state.with_rng(|rng| roster.choose(&need, now, rng))
+    let mut endpoints = state.endpoints.borrow_mut();
+    state.with_rng(|rng| endpoints.choose(&requirements, now, rng))
 }
--- a/node/src/direct/publisher.rs
+++ b/node/src/direct/publisher.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mastichaven_core::direct::endpoint::Listed;
+use mastichaven_core::direct::endpoint::EndpointRecord;
 use mastichaven_core::direct::replication::Hello;
 use mastichaven_core::direct::replication::Message;
 use mastichaven_core::direct::replication::PeerEndpoint;
@@ -40,10 +40,12 @@
 impl State {
     /// The engines of a service that this entry knows of, for an agent that has the list `known`.
     fn peer_list(&self, service: &ServiceName, known: u64) -> PeerList {
-        let roster = self.roster.borrow();
-        let peer =
-            |listed: &Listed| PeerEndpoint { address: listed.address, zone: listed.zone.clone() };
-        PeerList::new(roster.engines_of(service).map(peer).collect(), known)
+        let endpoints = self.endpoints.borrow();
+        let peer = |listed: &EndpointRecord| PeerEndpoint {
+            address: listed.address,
+            zone: listed.zone.clone(),
+        };
+        PeerList::new(endpoints.engines_of(service).map(peer).collect(), known)
     }
 }
 
--- a/node/src/direct/replication/probes.rs
+++ b/node/src/direct/replication/probes.rs
@@ -39,7 +39,7 @@
         }
         // Few objects, if any, so the answer is short.
         let is_answered = self.client.list(Kind::Evacuations, false).await.is_ok();
-        let entries = state.roster.borrow().entries();
+        let entries = state.endpoints.borrow().entries();
         let longest = PROBE_LONGEST * entries.div_ceil(ENTRIES_WITH_SHORT_PAUSE);
         let part = state.with_rng(|rng| rng.random_range(0.5..1.0));
         self.next = state.now() + self.pause.mul_f64(part);
--- a/node/src/direct/state.rs
+++ b/node/src/direct/state.rs
@@ -12,14 +12,14 @@
 use mastichaven_core::direct::catalog::Catalog;
 use mastichaven_core::direct::catalog::Route;
 use mastichaven_core::direct::endpoint::EndpointKey;
+use mastichaven_core::direct::endpoint_table::EndpointTable;
 use mastichaven_core::direct::freshness::Freshness;
-use mastichaven_core::direct::lateness::LongestWait;
+use mastichaven_core::direct::lateness::LongestDeadline;
 use mastichaven_core::direct::replication::AgeLimits;
 use mastichaven_core::direct::replication::Named;
-use mastichaven_core::direct::retry_after::Cause;
+use mastichaven_core::direct::retry_after::RefusalCause;
 use mastichaven_core::direct::retry_after::retry_after;
-use mastichaven_core::direct::roster::Roster;
-use mastichaven_core::direct::shares::RepeatBudget;
+use mastichaven_core::direct::shares::SharedRetryBudget;
 use mastichaven_core::direct::versions::CurrentWeights;
 use mastichaven_core::direct::versions::Versions;
 use mastichaven_core::ids::ServiceName;
@@ -72,7 +72,7 @@
     /// Whether the models of services differ from those with which endpoints were read.
     pub are_models_new: Cell<bool>,
     /// The endpoints.
-    pub roster: RefCell<Roster>,
+    pub endpoints: RefCell<EndpointTable>,
     /// Endpoints that are kept though the store no longer lists them, and since when.
     pub lapsed: RefCell<HashMap<SmolStr, Time>>,
     /// Whether a list of endpoints has come in this life that was still young.
@@ -115,16 +115,16 @@
     pub publisher: Publisher,
     /// Chunks of weights for the agents of the region.
     pub chunks: ChunkCache,
-    longest_waits: RefCell<HashMap<SmolStr, LongestWait>>,
-    budgets: RefCell<HashMap<ServiceName, RepeatBudget>>,
+    longest_deadlines: RefCell<HashMap<SmolStr, LongestDeadline>>,
+    budgets: RefCell<HashMap<ServiceName, SharedRetryBudget>>,
     rng: RefCell<SmallRng>,
 }
 
 impl State {
     /// The state of an entry that knows nothing yet.
     pub fn new(cfg: DirectSettings, log: Logger, entries: u32) -> State {
-        let mut roster = Roster::new(cfg.host.clone(), cfg.zone.clone(), cfg.regions());
-        roster.set_entries(entries);
+        let mut endpoints = EndpointTable::new(cfg.host.clone(), cfg.zone.clone(), cfg.regions());
+        endpoints.set_entries(entries);
         let lease = Duration::from_millis(cfg.bounds.key_revocation_ms).mul_f64(LEASE_PART);
         State {
             clock: BootClock::start(),
@@ -133,7 +133,7 @@
             catalog: RefCell::default(),
             configured: Notify::new(),
             are_models_new: Cell::new(false),
-            roster: RefCell::new(roster),
+            endpoints: RefCell::new(endpoints),
             lapsed: RefCell::default(),
             has_young_list: Cell::new(false),
             freshness: RefCell::new(Freshness::new(lease)),
@@ -155,7 +155,7 @@
             unfollowed: Notify::new(),
             publisher: Publisher::default(),
             chunks: ChunkCache::default(),
-            longest_waits: RefCell::default(),
+            longest_deadlines: RefCell::default(),
             budgets: RefCell::default(),
             rng: RefCell::new(SmallRng::from_rng(&mut rand::rng())),
             cfg,
@@ -243,7 +243,7 @@
             "ready": self.is_ready(now),
             "config": self.config_version(),
             "config_age_ms": self.freshness.borrow().age(now).map(|age| age.as_millis() as u64),
-            "entries": self.roster.borrow().entries(),
+            "entries": self.endpoints.borrow().entries(),
             "relay": self.relay.get().last(),
             "root": self.root.get().last(),
             "follows": self.is_following.get(),
@@ -252,18 +252,18 @@
             "followers": self.publisher.len(),
             "chunks": self.chunks.len(),
             "weights": weights,
-            "endpoints": self.roster.borrow().dump(now),
+            "endpoints": self.endpoints.borrow().dump(now),
         })
     }
 
     /// The time after which a caller with `left` of its time is asked to come back.
-    pub fn retry_after(&self, cause: Cause, left: Duration) -> Duration {
+    pub fn retry_after(&self, cause: RefusalCause, left: Duration) -> Duration {
         retry_after(cause, left, self.with_rng(|rng| rng.random()))
     }
 
     /// Whether a caller of `route` that waits for `left` more has come back too late to be in time.
     pub fn is_late(&self, route: &Route, left: Duration, now: Time) -> bool {
-        let mut waits = self.longest_waits.borrow_mut();
+        let mut waits = self.longest_deadlines.borrow_mut();
         if waits.len() >= MAX_ROUTES_WATCHED && !waits.contains_key(&route.name) {
             waits.clear();
         }
@@ -274,13 +274,13 @@
     pub fn with_budget<T>(
         &self,
         service: &ServiceName,
-        f: impl FnOnce(&mut RepeatBudget) -> T,
+        f: impl FnOnce(&mut SharedRetryBudget) -> T,
     ) -> T {
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.clone()).or_insert_with(|| {
             let bounds = &self.cfg.bounds;
             let window = Duration::from_secs_f64(bounds.repeat_window_s);
-            RepeatBudget::new(bounds.repeat_ratio, bounds.repeat_slack, window)
+            SharedRetryBudget::new(bounds.repeat_ratio, bounds.repeat_slack, window)
         });
         f(budget)
     }
@@ -297,14 +297,14 @@
 impl Place {
     /// Takes a place at `endpoint`.
     pub fn take(state: &Rc<State>, endpoint: EndpointKey) -> Place {
-        state.roster.borrow_mut().sent(endpoint, state.now());
+        state.endpoints.borrow_mut().record_sent(endpoint, state.now());
         Place { state: state.clone(), endpoint }
     }
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.state.roster.borrow_mut().left(self.endpoint);
+        self.state.endpoints.borrow_mut().record_finished(self.endpoint);
         self.state.freed.notify_one();
     }
 }
--- a/node/src/direct/stream.rs
+++ b/node/src/direct/stream.rs
@@ -162,7 +162,7 @@
 
 async fn end_run(state: &State, run: Run) {
     let Run { listed, mut link, place, response } = run;
-    state.roster.borrow_mut().succeeded(place.endpoint);
+    state.endpoints.borrow_mut().record_success(place.endpoint);
     drop(place);
     let span = pool::idle_span(response.headers());
     drop(response);
--- a/node/src/direct/updates.rs
+++ b/node/src/direct/updates.rs
@@ -5,11 +5,11 @@
 
 use mastichaven_core::Time;
 use mastichaven_core::direct::catalog::Catalog;
-use mastichaven_core::direct::endpoint::Listed;
+use mastichaven_core::direct::endpoint::EndpointRecord;
+use mastichaven_core::direct::endpoint_table::EndpointTable;
 use mastichaven_core::direct::replication::Ages;
 use mastichaven_core::direct::replication::Update;
 use mastichaven_core::direct::replication::time_before;
-use mastichaven_core::direct::roster::Roster;
 use mastichaven_core::direct::versions::Versions;
 use mastichaven_core::ids::Revision;
 use mastichaven_core::ids::ServiceName;
@@ -32,7 +32,7 @@
             }
             Update::EndpointPut(listed) => self.apply_endpoint(*listed),
             Update::EndpointGone { id, last } => self.endpoint_gone(&id, last),
-            Update::EndpointsSeen(as_of) => self.roster.borrow_mut().seen(as_of),
+            Update::EndpointsSeen(as_of) => self.endpoints.borrow_mut().advance_as_of(as_of),
             Update::Evacuated { as_of, zones } => self.apply_evacuated(as_of, &zones),
             Update::Weights { model, version, ago } => {
                 let now = self.now();
@@ -54,7 +54,7 @@
                 self.config_version().is_some_and(|known| known >= parts.version)
             }
             Update::Endpoints { as_of, .. } => {
-                let known = self.roster.borrow().as_of();
+                let known = self.endpoints.borrow().as_of();
                 known != Revision::default() && *as_of <= known && self.is_following.get()
             }
             _ => false,
@@ -70,10 +70,10 @@
         if let Some(catalog) = self.catalog.borrow().as_ref().filter(is_newer) {
             all.push(Update::Config(Box::new(catalog.parts())));
         }
-        let roster = self.roster.borrow();
-        let zones = roster.evacuated().cloned().collect();
-        all.push(Update::Evacuated { as_of: roster.evacuated_as_of(), zones });
-        all.push(self.listed_endpoints(&roster, now));
+        let endpoints = self.endpoints.borrow();
+        let zones = endpoints.evacuated().cloned().collect();
+        all.push(Update::Evacuated { as_of: endpoints.evacuated_as_of(), zones });
+        all.push(self.listed_endpoints(&endpoints, now));
         for (model, versions) in self.versions.borrow().iter() {
             let named = versions.ages(now);
             all.extend(named.map(|(version, ago)| Update::Weights {
@@ -90,12 +90,12 @@
     /// A parent that was turned away by the store keeps lapsed endpoints for a while. An entry that
     /// starts to follow it then may know better, as it heard in time that one of them has left. Were
     /// it told of that endpoint as of any other, it would send requests there again, seconds late.
-    fn listed_endpoints(&self, roster: &Roster, now: Time) -> Update {
+    fn listed_endpoints(&self, endpoints: &EndpointTable, now: Time) -> Update {
         let lapsed = self.lapsed.borrow();
-        let is_listed = |listed: &Listed| !lapsed.contains_key(&listed.id);
+        let is_listed = |listed: &EndpointRecord| !lapsed.contains_key(&listed.id);
         Update::Endpoints {
-            as_of: roster.as_of(),
-            listed: roster.all_listed(now).filter(is_listed).collect(),
+            as_of: endpoints.as_of(),
+            listed: endpoints.records(now).filter(is_listed).collect(),
             lapsed: lapsed.keys().cloned().collect(),
         }
     }
@@ -156,13 +156,14 @@
         if self.is_following.get() { "parent" } else { "store" }
     }
 
-    fn apply_endpoints(&self, as_of: Revision, all: Vec<Listed>, lapsed: &[SmolStr]) {
-        let known_as_of = self.roster.borrow().as_of();
+    fn apply_endpoints(&self, as_of: Revision, all: Vec<EndpointRecord>, lapsed: &[SmolStr]) {
+        let known_as_of = self.endpoints.borrow().as_of();
         slog::info!(self.log, "endpoint list received"; "from" => self.source(), "as_of" => as_of.0,
             "known_as_of" => known_as_of.0, "listed" => all.len(),
             "lapsed" => format!("{lapsed:?}"));
         let changed = self.changed_among(&all);
-        let Some(gone) = self.roster.borrow_mut().put_all(as_of, all, lapsed, self.now()) else {
+        let Some(gone) = self.endpoints.borrow_mut().replace_all(as_of, all, lapsed, self.now())
+        else {
             return;
         };
         gone.iter().for_each(|id| self.log_gone(id, as_of));
@@ -171,25 +172,26 @@
     }
 
     /// Endpoints of a list that this entry does not know, or knows as they were before.
-    fn changed_among(&self, all: &[Listed]) -> Vec<Listed> {
-        let roster = self.roster.borrow();
-        let is_changed = |listed: &&Listed| roster.revision_of(&listed.id) != Some(listed.revision);
+    fn changed_among(&self, all: &[EndpointRecord]) -> Vec<EndpointRecord> {
+        let endpoints = self.endpoints.borrow();
+        let is_changed =
+            |listed: &&EndpointRecord| endpoints.revision_of(&listed.id) != Some(listed.revision);
         all.iter().filter(is_changed).cloned().collect()
     }
 
-    fn log_listed(&self, listed: &Listed) {
+    fn log_listed(&self, listed: &EndpointRecord) {
         slog::info!(self.log, "endpoint listed"; "endpoint" => listed.id.as_str(),
             "from" => self.source(), "revision" => listed.revision.0,
             "service" => listed.service.as_str(), "zone" => listed.zone.as_str(),
             "draining" => listed.is_draining,
             "weights" => listed.weights.first().map_or(0, |(_, version)| *version),
-            "cold_ms" => listed.cold_for.as_millis() as u64);
+            "cold_ms" => listed.cold_remaining.as_millis() as u64);
     }
 
-    fn apply_endpoint(&self, listed: Listed) {
+    fn apply_endpoint(&self, listed: EndpointRecord) {
         self.log_listed(&listed);
         let id = listed.id.clone();
-        if !self.roster.borrow_mut().put(listed, self.now()) {
+        if !self.endpoints.borrow_mut().upsert(listed, self.now()) {
             slog::info!(self.log, "older update of an endpoint ignored"; "endpoint" => id.as_str());
         }
         self.freed.notify_waiters();
@@ -202,12 +204,12 @@
 
     fn endpoint_gone(&self, id: &str, last: Revision) {
         self.log_gone(id, last);
-        self.roster.borrow_mut().remove(id, last);
+        self.endpoints.borrow_mut().remove(id, last);
     }
 
     fn apply_evacuated(&self, as_of: Revision, zones: &[ZoneName]) {
         let all = zones.iter().cloned().collect();
-        let is_taken = self.roster.borrow_mut().set_evacuated(all, as_of);
+        let is_taken = self.endpoints.borrow_mut().set_evacuated(all, as_of);
         slog::info!(self.log, "zones out of service"; "zones" => format!("{zones:?}"),
             "from" => self.source(), "as_of" => as_of.0, "taken" => is_taken);
     }
--- a/node/src/direct/watch/taking.rs
+++ b/node/src/direct/watch/taking.rs
@@ -6,7 +6,7 @@
 
 use mastichaven_core::Time;
 use mastichaven_core::direct::catalog::Catalog;
-use mastichaven_core::direct::endpoint::Listed;
+use mastichaven_core::direct::endpoint::EndpointRecord;
 use mastichaven_core::direct::replication::Update;
 use mastichaven_core::ids::Revision;
 use mastichaven_core::ids::ServiceName;
@@ -71,7 +71,7 @@
             match (self.kind, change) {
                 (Kind::Endpoints, Change::Put(object)) => self.put_endpoint(&object),
                 (Kind::Endpoints, Change::Gone(name)) => {
-                    let last = self.state.roster.borrow().revision_of(&name);
+                    let last = self.state.endpoints.borrow().revision_of(&name);
                     self.endpoint_gone(name, last.unwrap_or_default(), now);
                 }
                 (Kind::Evacuations, Change::Put(object)) => {
@@ -122,11 +122,11 @@
     /// Known endpoints that a list does not show.
     fn missing_from(&self, objects: &[Object]) -> Vec<SmolStr> {
         let listed: HashSet<&SmolStr> = objects.iter().map(|object| &object.name).collect();
-        let roster = self.state.roster.borrow();
-        roster.ids().filter(|id| !listed.contains(id)).cloned().collect()
+        let endpoints = self.state.endpoints.borrow();
+        endpoints.ids().filter(|id| !listed.contains(id)).cloned().collect()
     }
 
-    fn scan_endpoint(&self, object: &Object) -> Option<Listed> {
+    fn scan_endpoint(&self, object: &Object) -> Option<EndpointRecord> {
         let catalog: Option<Rc<Catalog>> = self.state.catalog.borrow().clone();
         let layers_of = |service: &ServiceName| {
             let service = catalog.as_ref()?.service(service)?;
--- a/node/tests/direct/chunk_cache.rs
+++ b/node/tests/direct/chunk_cache.rs
@@ -9,7 +9,7 @@
 use mastichaven_core::direct::catalog::CatalogParts;
 use mastichaven_core::direct::catalog::Origin;
 use mastichaven_core::direct::catalog::Service;
-use mastichaven_core::direct::endpoint::Listed;
+use mastichaven_core::direct::endpoint::EndpointRecord;
 use mastichaven_core::direct::endpoint::LoadReport;
 use mastichaven_core::direct::replication::ChunkRequest;
 use mastichaven_core::direct::replication::Hello;
@@ -278,10 +278,10 @@
     LoadReport {
         running: 0,
         waiting: 0,
-        accepts: true,
+        is_accepting: true,
         weights: vec![("m".into(), 2)],
         ready_in: None,
-        born: 1,
+        started_ms: 1,
         entries: 1,
         readers: 1,
         is_count_complete: true,
@@ -298,9 +298,9 @@
         spawn_local(serve_holder(TcpListener::bind(holder).await.expect("a free port")));
         let engine = SocketAddr::new(holder.ip(), 9);
         let now = state.now();
-        let listed = Listed { address: engine, is_engine: true, ..listed("i-1") };
+        let listed = EndpointRecord { address: engine, is_engine: true, ..listed("i-1") };
         state.apply(Update::EndpointPut(Box::new(listed)));
-        state.roster.borrow_mut().reported(engine, &report(), now, Duration::ZERO, 0.5, now);
+        state.endpoints.borrow_mut().apply_report(engine, &report(), now, Duration::ZERO, 0.5, now);
         assert_eq!(take(entry, &ask(4, Vec::new())).await, Ok(chunk(4)));
         assert_eq!(origin.asked.get(), 0);
     });
--- a/node/tests/direct/updates.rs
+++ b/node/tests/direct/updates.rs
@@ -4,7 +4,7 @@
 use mastichaven_core::Time;
 use mastichaven_core::direct::catalog::CallerLimits;
 use mastichaven_core::direct::catalog::Catalog;
-use mastichaven_core::direct::endpoint::Listed;
+use mastichaven_core::direct::endpoint::EndpointRecord;
 use mastichaven_core::direct::replication::Ages;
 use mastichaven_core::direct::replication::Update;
 use mastichaven_core::ids::Revision;
@@ -49,8 +49,8 @@
     State::new(cfg, slog::Logger::root(slog::Discard, slog::o!()), 1)
 }
 
-pub fn listed(id: &str) -> Listed {
-    Listed {
+pub fn listed(id: &str) -> EndpointRecord {
+    EndpointRecord {
         id: id.into(),
         revision: Revision(1),
         service: ServiceName::new("writer"),
@@ -58,10 +58,10 @@
         zone: ZoneName::new("zone-a"),
         slots: 16,
         is_draining: false,
-        cold_for: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
         weights: Vec::new(),
         is_engine: false,
-        born: 1,
+        started_ms: 1,
     }
 }
 
@@ -71,7 +71,7 @@
 }
 
 fn known(state: &State) -> Vec<String> {
-    let mut ids: Vec<String> = state.roster.borrow().ids().map(|id| id.to_string()).collect();
+    let mut ids: Vec<String> = state.endpoints.borrow().ids().map(|id| id.to_string()).collect();
     ids.sort();
     ids
 }
@@ -134,7 +134,7 @@
     parent.apply(Update::Evacuated { as_of: Revision(3), zones: Vec::new() });
     follower.apply(Update::Evacuated { as_of: Revision(5), zones: vec![zone.clone()] });
     apply_snapshot(&parent, &follower);
-    let evacuated: Vec<ZoneName> = follower.roster.borrow().evacuated().cloned().collect();
+    let evacuated: Vec<ZoneName> = follower.endpoints.borrow().evacuated().cloned().collect();
     assert_eq!(evacuated, [zone]);
 }
 
