--- a/bench/src/weights.rs
+++ b/bench/src/weights.rs
@@ -410,7 +410,7 @@
     let answers = crossed.control_messages - before.crossed.control_messages;
     let answer_bytes = crossed.control_bytes - before.crossed.control_bytes;
     // The net counts answers without a chunk; each ask is one message more, of about 100 bytes.
-    let asks = sum(|c| c.polls) + sum(|c| c.asks);
+    let asks = sum(|c| c.polls) + sum(|c| c.requests);
     let bound = timing.lower_bound;
     Figures {
         way,
@@ -430,7 +430,7 @@
         control_messages_per_host_second: per_host(answers + asks) / timing.seconds,
         control_bytes_per_host_second: per_host(answer_bytes + asks * ASK_LEN) / timing.seconds,
         polls_per_host: per_host(sum(|c| c.polls)),
-        asks_per_host: per_host(sum(|c| c.asks)),
+        asks_per_host: per_host(sum(|c| c.requests)),
         doubled: sum(|c| c.duplicated),
         corrupt: sum(|c| c.corrupt),
         failed: sum(|c| c.failed),
--- a/core/src/manifest.rs
+++ b/core/src/manifest.rs
@@ -1,4 +1,4 @@
-//! Manifests: the digests that make up one version of a model.
+//! Manifests: the list of chunks that make up one version of a model.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,25 +6,25 @@
 use crate::code::Code;
 use crate::ids::Digest;
 
-/// Result of reading a manifest.
+/// Result of decoding a manifest.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// Bytes of a chunk at most.
+/// Maximum length of a chunk in bytes.
 pub const MAX_CHUNK_BYTES: u32 = 4 << 20;
 
-/// Chunks of a version at most.
+/// Maximum number of chunks of a version.
 pub const MAX_CHUNKS: usize = 1 << 20;
 
 /// One chunk of a version.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Chunk {
-    /// Digest of its bytes.
+    /// Digest of the chunk's bytes.
     pub digest: Digest,
-    /// Its length in bytes.
+    /// Length in bytes, from 1 to [`MAX_CHUNK_BYTES`].
     pub len: u32,
 }
 
-/// The chunks of a version, in order. Its own digest names the version's weights.
+/// The chunks of a version. The digest of the encoded manifest names the version.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Manifest {
     /// The chunks in the order in which they make up the weights.
@@ -32,7 +32,7 @@
 }
 
 impl Manifest {
-    /// Cuts `weights` into chunks of `chunk_len` bytes, the last one shorter.
+    /// Splits `weights` into chunks of `chunk_len` bytes; the last one may be shorter.
     pub fn from_weights(weights: &[u8], chunk_len: u32) -> Manifest {
         let chunks = weights
             .chunks(chunk_len.clamp(1, MAX_CHUNK_BYTES) as usize)
@@ -41,7 +41,7 @@
         Manifest { chunks }
     }
 
-    /// Bytes of the whole version.
+    /// Bytes of all chunks.
     pub fn len(&self) -> u64 {
         self.chunks.iter().map(|chunk| u64::from(chunk.len)).sum()
     }
@@ -51,7 +51,7 @@
         self.chunks.is_empty()
     }
 
-    /// The bytes that the digest of the manifest is taken of.
+    /// The encoded form, from which [`Manifest::digest`] is computed.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("a manifest always encodes")
     }
@@ -61,7 +61,7 @@
         Digest::of(&self.encode())
     }
 
-    /// Reads a manifest and checks it against the digest that names it.
+    /// Decodes a manifest after checking it against the digest that names it.
     pub fn decode(bytes: &[u8], expected: Digest) -> Result<Manifest> {
         if Digest::of(bytes) != expected {
             return Err(Code::BadManifest);
--- a/core/src/orders.rs
+++ b/core/src/orders.rs
@@ -1,9 +1,9 @@
-//! Orders to an engine as a life cycle: load, verify, switch, unload.
+//! Orders to an engine as a typestate: load, verify, drain, order, confirm.
 //!
-//! Each step exists only on the type of the step before, so that code which switches without a
-//! complete verified manifest, or trusts an answer that was not read back, does not compile. Some
-//! engines ignore fencing tokens and some answers get lost: only [`Ordered::confirm`], which looks
-//! at what the engine itself reports afterwards, ends an order.
+//! Each step exists only on the type of the step before, so code that switches an engine without a
+//! complete, verified version or that trusts the answer to an order does not compile. Some engines
+//! ignore fencing tokens and some answers get lost, so only [`Ordered::confirm`], which checks what
+//! the engine itself reports afterwards, completes an order.
 
 use std::time::Duration;
 
@@ -21,63 +21,64 @@
 /// Result of a step.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// First and longest wait after an order that failed.
+/// Delay after the first failed order; doubles with each further one.
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
-/// The longest wait after an order that failed.
+/// Maximum delay after a failed order.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
-/// Orders with a lower fence than one already taken are refused by engines that check it.
+/// Fencing token of an order, compared by plan, then by incarnation. Engines that check it refuse
+/// an order with a lower token than one that they have already accepted.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Fence {
-    /// Revision of the plan behind the order.
+    /// Revision of the plan that the order follows.
     pub plan: u64,
-    /// The agent's life.
+    /// Incarnation of the agent that gives the order.
     pub incarnation: Incarnation,
 }
 
-/// What the engine reported when it was last read.
+/// State that the engine reported when it was last read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Reported {
-    /// Its life.
+    /// Identifies the start of the engine's process.
     pub start: StartId,
-    /// The version it answers from.
+    /// The version that it answers from; `None` if it has none.
     pub version: Option<Digest>,
 }
 
-/// A version the plan wants on this host; its weights may still be on their way.
+/// A version that the plan assigns to this host; its weights may still be incomplete.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted {
     version: Digest,
     fence: Fence,
 }
 
-/// A version whose every chunk is here and matches its digest.
+/// A version whose chunks are all stored and match their digests.
 #[derive(Clone, Copy, Debug)]
 pub struct Verified {
     version: Digest,
     fence: Fence,
 }
 
-/// An engine that nothing runs on any more and that may be ordered.
+/// A verified version, for an engine that runs no requests and may be ordered to load it.
 #[derive(Clone, Copy, Debug)]
 pub struct Drained {
     version: Digest,
     fence: Fence,
 }
 
-/// An order that was sent; its answer proves nothing.
+/// An order that was sent; its answer is not trusted.
 #[derive(Clone, Copy, Debug)]
 pub struct Ordered {
     version: Digest,
 }
 
 impl Wanted {
-    /// An order under revision `revision` of the plan.
+    /// Starts an order for `version` under `revision` of the plan.
     pub fn new(version: Digest, revision: u64, incarnation: Incarnation) -> Wanted {
         Wanted { version, fence: Fence { plan: revision, incarnation } }
     }
 
-    /// The weights are all here.
+    /// Fails with [`Code::NoChunk`] unless the weights are complete.
     pub fn verify(self, is_complete: bool) -> Result<Verified> {
         let Wanted { version, fence } = self;
         if is_complete { Ok(Verified { version, fence }) } else { Err(Code::NoChunk) }
@@ -85,10 +86,11 @@
 }
 
 impl Verified {
-    /// The engine may leave what it has, and no request runs on it.
+    /// Fails with [`Code::EndpointClosed`] unless the engine may release its version and runs no
+    /// request.
     ///
-    /// An engine that reloads under a running request would cut it off or, worse, go on with other
-    /// weights in the middle of an answer.
+    /// An engine that reloads during a request would cut it off or, worse, continue the answer with
+    /// other weights.
     pub fn drain(self, may_release: bool, running: u32) -> Result<Drained> {
         let Verified { version, fence } = self;
         if may_release && running == 0 {
@@ -100,14 +102,15 @@
 }
 
 impl Drained {
-    /// What to send to the engine.
+    /// Version and fencing token to send to the engine, and the order to confirm.
     pub fn order(self) -> (Digest, Fence, Ordered) {
         (self.version, self.fence, Ordered { version: self.version })
     }
 }
 
 impl Ordered {
-    /// Compares with what the engine reports after the order; its answer is not looked at.
+    /// Fails with [`Code::OrderIgnored`] unless the engine reports the ordered version after the
+    /// order. The answer to the order is not considered.
     pub fn confirm(self, reported: Option<Reported>) -> Result<StartId> {
         match reported {
             Some(Reported { start, version: Some(version) }) if version == self.version => {
@@ -118,11 +121,12 @@
     }
 }
 
-/// Whether `me` may take its engine off the version `held`.
+/// Whether the engine of host `me` may stop serving version `loaded`.
 ///
-/// It may if the version is in service no more, or if `is_ready` says that another host, which the
-/// plan leaves on it, answers from it now. Hosts that the plan moves off it do not count: they may
-/// go in the same moment. The planner counts too, but a replica may have died since.
+/// It may if the plan no longer serves that version, or if `is_ready` tells that another host which
+/// the plan keeps on the version answers from it now. Hosts that the plan moves to another version
+/// do not count because they may switch at the same moment. The planner ensures the same, but a
+/// replica may have died since.
 pub fn may_release(
     plan: Option<&Plan>,
     me: &HostName,
@@ -139,8 +143,8 @@
     staying.any(|replica| is_ready(&replica.host))
 }
 
-/// Waits longer after each order that failed, so that an engine that cannot load a version is not
-/// kept from serving by the attempts.
+/// Exponential backoff after failed orders, so that attempts to load a version that does not load
+/// do not keep an engine from serving.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backoff {
     failures: u32,
@@ -149,12 +153,12 @@
 }
 
 impl Backoff {
-    /// Whether `version` may be ordered now. Another version than the one that failed may at once.
+    /// Whether `version` may be ordered now. The backoff applies only to the version that failed.
     pub fn allows(&self, version: Digest, now: Time) -> bool {
         self.version != Some(version) || self.until.is_none_or(|until| now >= until)
     }
 
-    /// An order for `version` failed.
+    /// Records a failed order for `version` and extends the backoff.
     pub fn record_failure(&mut self, version: Digest, now: Time) {
         if self.version != Some(version) {
             *self = Backoff { version: Some(version), ..Backoff::default() };
@@ -164,7 +168,7 @@
         self.until = Some(now + wait.min(MAX_BACKOFF));
     }
 
-    /// An order was confirmed.
+    /// Resets the backoff after a confirmed order.
     pub fn record_success(&mut self) {
         *self = Backoff::default();
     }
--- a/core/src/placement.rs
+++ b/core/src/placement.rs
@@ -1,8 +1,9 @@
-//! Placement: from the last plan, the configuration and the live hosts to the next plan.
+//! Placement: computes the next plan of a model from the last plan, the configuration and the live
+//! hosts.
 //!
-//! A plan changes as little as possible: hosts that may stay do, and each step of a rollout orders
-//! only a part of the replicas to switch. What a step may take away is counted against replicas
-//! that are ready now, so that the last ready replica of the serving version stays.
+//! A plan changes as little as possible: hosts stay where they may, and each step of a rollout
+//! switches only some of the replicas. Limits on what a step may remove count only replicas that
+//! are ready now, so that the last ready replica of the serving version stays.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,57 +19,58 @@
 use crate::swarm::topology::key_of;
 use crate::time::Time;
 
-/// Of the replicas of a model, this part switches to a new version at once.
+/// Divisor of the number of replicas that gives the size of a batch in rollout and scaling.
 const BATCH_DIVISOR: usize = 4;
 
-/// Candidates named in a plan at most.
+/// Maximum number of candidates in a plan.
 const MAX_CANDIDATES: usize = 256;
 
-/// Zones may differ by this many replicas before one is moved.
+/// Difference in replicas between two zones at which one replica is moved.
 const ZONE_REBALANCE_SKEW: usize = 2;
 
-/// Load, as a share of the admitted work, above which replicas are added.
+/// Load, as a share of the admitted work, from which replicas are added.
 pub const SCALE_UP_LOAD: f64 = 0.8;
 
-/// Load below which replicas are taken away again. The gap to [`SCALE_UP_LOAD`] and the longer wait
-/// keep the count from swinging: fewer replicas raise the load of the rest.
+/// Load up to which replicas are removed. The gap to [`SCALE_UP_LOAD`] and the longer delay prevent
+/// oscillation, because removing a replica raises the load of the others.
 pub const SCALE_DOWN_LOAD: f64 = 0.3;
 
 /// How long the load must be high before replicas are added.
 pub const SCALE_UP_DELAY: Duration = Duration::from_secs(2);
 
-/// How long the load must be low before one replica is taken away.
+/// How long the load must be low before a replica is removed.
 pub const SCALE_DOWN_DELAY: Duration = Duration::from_secs(60);
 
-/// A live engine host that may hold a replica: its zone is in and allowed, it is not leaving.
+/// A live host with an engine that may hold a replica: its availability zone is in service and
+/// allowed, and it is not leaving.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineHost {
-    /// The host.
+    /// Name of the host.
     pub host: HostName,
-    /// Its zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Memory of its engine, in MiB; 0 when it does not say.
+    /// Memory of its engine in MiB; 0 if unknown.
     pub memory_mib: u64,
-    /// The version its engine answers from now, if it is of this model.
+    /// The version of this model that its engine answers from now, if any.
     pub ready: Option<Digest>,
 }
 
-/// What a plan is made for.
+/// Inputs of a plan besides the last plan and the live hosts.
 #[derive(Clone, Debug)]
 pub struct Goal<'a> {
-    /// The model.
+    /// Name of the model.
     pub model: &'a ModelName,
     /// The configured version.
     pub version: Digest,
-    /// Memory one replica needs, in MiB.
+    /// Memory that one replica needs, in MiB.
     pub memory_mib: u64,
-    /// Where it may run.
+    /// Zones, pins and exclusions of the model.
     pub placement: &'a Placement,
-    /// Replicas wanted now, within the placement's bounds.
+    /// Target number of replicas, within the bounds of the placement.
     pub replicas: usize,
     /// Hosts whose engines did not load the configured version in time.
     pub failed: &'a BTreeSet<HostName>,
-    /// Hosts of other models' plans.
+    /// Hosts in the plans of other models.
     pub reserved: &'a BTreeSet<HostName>,
 }
 
@@ -82,13 +84,13 @@
             && !self.reserved.contains(&engine.host)
     }
 
-    /// Order in which spare hosts of one zone are taken: the same at each planner.
+    /// Order in which unused hosts of a zone are chosen, the same for every planner.
     fn score(&self, host: &HostName) -> u64 {
         key_of(Digest::of(format!("{host}/{}", self.model).as_bytes()))
     }
 }
 
-/// The next plan. `None` when no host may hold the model.
+/// Computes the next plan. `None` if no host may hold the model.
 pub fn next_plan(old: Option<&Plan>, goal: &Goal, engines: &[EngineHost]) -> Option<Plan> {
     let usable: Vec<&EngineHost> = engines.iter().filter(|engine| goal.allows(engine)).collect();
     let chosen = choose_hosts(old, goal, &usable);
@@ -105,7 +107,8 @@
     })
 }
 
-/// Hosts of the next plan: those of the old one that may stay, pins, then the emptiest zones.
+/// Hosts of the next plan: those of the old one that may stay, pinned hosts, then hosts of the
+/// zones with fewest replicas.
 fn choose_hosts<'a>(
     old: Option<&Plan>,
     goal: &Goal,
@@ -126,7 +129,8 @@
     if chosen.len() == wanted
         && let Some(engine) = best_spare(goal, usable, &chosen)
     {
-        // One more where a whole zone is short; the fullest zone gives one up below.
+        // One more in a zone that is short of replicas; the loop below removes one from the fullest
+        // zone.
         let counts = count_zones(&chosen);
         let max = counts.values().copied().max().unwrap_or(0);
         if counts.get(&engine.zone).copied().unwrap_or(0) + ZONE_REBALANCE_SKEW <= max {
@@ -157,7 +161,7 @@
     counts
 }
 
-/// The best spare host: of the zone with fewest replicas, and not one that failed to load.
+/// The best unused host: in the zone with fewest replicas, and not one that failed to load.
 fn best_spare<'a>(
     goal: &Goal,
     usable: &[&'a EngineHost],
@@ -184,7 +188,7 @@
     spare
 }
 
-/// Which version answers, which is rolled out, and what each host is to hold.
+/// The serving version, the version that is rolled out, and the version of each host.
 fn choose_versions(
     old: Option<&Plan>,
     goal: &Goal,
@@ -207,8 +211,8 @@
         .iter()
         .map(|engine| {
             let was = old.and_then(|plan| plan.version_for(&engine.host));
-            // A host new to the plan may still answer from an earlier turn; where the holders
-            // have died it can be the last that does.
+            // A host that is new to the plan may still answer from the serving version of an
+            // earlier plan. If the other hosts died, it can be the only one that does.
             let is_spare = was.is_none() && engine.ready != Some(serving);
             let switched = was == Some(target) || is_spare || engine.ready == Some(target);
             Replica { host: engine.host.clone(), version: if switched { target } else { serving } }
@@ -216,7 +220,8 @@
         .collect();
     switch_batch(goal, serving, chosen, &mut replicas);
     if replicas.iter().all(|replica| replica.version == serving) {
-        // Nobody may be taken: one more host loads the new version beside the last ready one.
+        // No replica may be switched: one more host loads the new version beside the last ready
+        // one.
         if let Some(engine) = best_spare(goal, usable, chosen) {
             replicas.push(Replica { host: engine.host.clone(), version: target });
             replicas.sort_by(|a, b| a.host.cmp(&b.host));
@@ -225,10 +230,10 @@
     (serving, Some(target), replicas)
 }
 
-/// Orders the next part of the replicas to switch, if the ones before have.
+/// Switches the next batch of replicas, once the previous batch is ready.
 ///
-/// Hosts that failed to load the new version count against the batch for good: a version that does
-/// not load stops after one batch instead of taking replica after replica out of service.
+/// Hosts that failed to load the new version keep counting against the batch: a rollout of a
+/// version that does not load stops after one batch and takes no further replicas out of service.
 fn switch_batch(goal: &Goal, serving: Digest, chosen: &[&EngineHost], replicas: &mut [Replica]) {
     let target = goal.version;
     let batch = (chosen.len() / BATCH_DIVISOR).max(1);
@@ -257,11 +262,11 @@
     }
 }
 
-/// The version a candidate loads by itself while no planner can be reached.
+/// The version that candidate `me` loads on its own while no planner is reachable.
 ///
-/// The replicas of a zone that are dead are matched in order with the zone's live candidates, so
-/// that each candidate comes to the same answer without asking the others. `is_dead` must mean
-/// silent for long, with the plan unchanged meanwhile: a planner that lives has replaced the host.
+/// Each dead replica of a zone is matched in order with a live candidate of that zone, so that all
+/// candidates reach the same result without communication. `is_dead` must mean silent for long
+/// while the plan did not change: a live planner would have replaced the host.
 pub fn takeover_version(
     plan: &Plan,
     me: &HostName,
@@ -279,7 +284,7 @@
     None
 }
 
-/// How many replicas a model gets, from how loaded those it has are.
+/// Number of replicas of a model as a function of their load, with hysteresis.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Autoscaler {
     high_since: Option<Time>,
@@ -287,7 +292,8 @@
 }
 
 impl Autoscaler {
-    /// The replicas wanted now, from `current` ones at `load`, the share of admitted work in use.
+    /// The number of replicas to run, given `current` ones at `load`, the share of admitted work in
+    /// use.
     pub fn target_replicas(
         &mut self,
         current: usize,
--- a/core/src/plan.rs
+++ b/core/src/plan.rs
@@ -1,8 +1,8 @@
-//! The plan of a model: which hosts hold which version, and which version answers.
+//! The plan of a model: which host serves which version, and which version answers requests.
 //!
 //! During a rollout a plan names two versions. `serving` answers until enough replicas of `loading`
 //! are ready; then the planner makes `loading` the serving version. Entries route by the plan, so a
-//! changed configuration alone never leads them to a version that nobody has loaded yet.
+//! change of the configuration alone never sends requests to a version that no engine has loaded.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,47 +12,49 @@
 use crate::ids::ModelName;
 use crate::spread::SPREAD_PREFIX;
 
-/// A host of the plan and the version its engine is to hold.
+/// A host of the plan and the version that its engine is to load.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Replica {
-    /// The host.
+    /// Host of the engine.
     pub host: HostName,
-    /// Digest of the manifest that its engine is to load.
+    /// Digest of the manifest of the version.
     pub version: Digest,
 }
 
-/// Where a model runs. Written by the planner by conditional update, spread like configuration.
+/// Assignment of a model's versions to hosts. The planner writes it by conditional update, and it
+/// is distributed like the configuration.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Plan {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Digest of the manifest that answers requests.
+    /// Digest of the manifest of the version that answers requests.
     pub serving: Digest,
-    /// Digest of the manifest that is being rolled out, if any.
+    /// Digest of the manifest of the version that is being rolled out, if any.
     pub loading: Option<Digest>,
-    /// Hosts that hold a replica, in name order.
+    /// Hosts with a replica, sorted by name.
     pub replicas: Vec<Replica>,
-    /// Hosts that step in, in this order, when a replica dies and no planner can be reached.
+    /// Hosts that may replace a dead replica, in this order, while no planner is reachable.
     pub candidates: Vec<HostName>,
 }
 
 impl Plan {
-    /// The version that `host` is to hold, if it holds a replica.
+    /// The version that `host` is to load; `None` if it has no replica.
     pub fn version_for(&self, host: &HostName) -> Option<Digest> {
         self.replicas.iter().find(|replica| replica.host == *host).map(|replica| replica.version)
     }
 
-    /// The versions whose weights a host of the plan keeps: the serving one first.
+    /// The versions whose weights the hosts of the plan keep, the serving one first.
     pub fn versions(&self) -> impl Iterator<Item = Digest> {
         std::iter::once(self.serving).chain(self.loading)
     }
 }
 
-/// The version that a new request goes to.
+/// The version that new requests are routed to.
 ///
-/// The plan's serving version while a replica of it is ready; else the one being rolled out if that
-/// is ready, so that callers see no outage when the old version's last replica dies half way.
-/// Without a plan it is the configured version. `is_ready` says whether a live replica serves it.
+/// This is the plan's serving version while a replica of it is ready, else the loading version if
+/// that is ready, so that requests succeed when the last replica of the old version dies during a
+/// rollout. Without a plan it is the configured version. `is_ready` tells whether a live replica
+/// serves a version.
 pub fn routable_version(
     plan: Option<&Plan>,
     configured: Digest,
@@ -64,7 +66,7 @@
     plan.versions().find(|version| is_ready(*version)).unwrap_or(plan.serving)
 }
 
-/// The key of a model's plan, as a document and as an object on the platform.
+/// Key of a model's plan, both as a document and as an object on the platform.
 pub fn plan_key(model: &ModelName) -> String {
     format!("{SPREAD_PREFIX}plan/{model}")
 }
--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -1,8 +1,8 @@
-//! Spreading the accepted configuration and the plans from process to process.
+//! Distribution of the accepted configuration and the plans between processes.
 //!
-//! Everything here only rises: [`Docs::insert_newer`] refuses a lower revision and [`Files::apply`] a
-//! lower generation, whoever sends it. Files are named by digest, so what a peer sends is checked
-//! before it is used, and a process fetches only the parts that it does not have.
+//! Revisions and generations only rise: [`Docs::insert_newer`] ignores a lower revision and
+//! [`Files::apply`] a lower generation, whoever sends it. Files are named by digest, so their
+//! content is verified before it is used, and a process fetches only the parts that it lacks.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -24,70 +24,71 @@
 use crate::ids::Digest;
 use crate::ids::Generation;
 
-/// Documents one message may carry or ask for at most.
+/// Maximum number of documents of a process, and so of one message.
 pub const MAX_DOCS: usize = 4_096;
 
-/// Bytes of parts that one message carries at most; the rest is asked for.
+/// Maximum bytes of parts in an [`Update`]; the receiver requests the rest.
 pub const MAX_INLINE_BYTES: usize = 256 << 10;
 
-/// Parts that one message may ask for at most.
+/// Maximum number of parts in one request.
 pub const MAX_PARTS: usize = 64;
 
-/// Bytes of parts that an answer to [`SpreadRequest::Parts`] holds before it stops.
+/// Maximum bytes of parts in an answer to [`SpreadRequest::Parts`].
 pub const MAX_PARTS_BYTES: usize = 2 << 20;
 
-/// The object, and the document, that accepts a configuration.
+/// Key of the head of the configuration, which names the accepted generation, as an object on the
+/// platform and as a document.
 pub const HEAD_KEY: &str = "spread/config";
 
-/// Everything that a relay watches lies below this prefix: the head and the plans.
+/// Prefix of all keys that a relay watches: the head and the plans.
 pub const SPREAD_PREFIX: &str = "spread/";
 
-/// A plan of a model, as a document.
+/// A document: the plan of one model.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Doc {
-    /// Its name, such as `spread/plan/rota`.
+    /// Key such as `spread/plan/rota`.
     pub key: SmolStr,
     /// Rises with each change.
     pub revision: u64,
-    /// Its encoded value.
+    /// Encoded content.
     pub bytes: Bytes,
 }
 
-/// Asks about configuration and plans, or brings them.
+/// A request for configuration and plans, or an update that is pushed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum SpreadRequest {
-    /// Everything above a generation and these revisions; a key that is not named counts as 0.
+    /// All that is newer than a generation and these revisions; a missing key counts as revision 0.
     NewerThan {
-        /// The generation in force at the asker.
+        /// Generation in force at the sender.
         generation: Generation,
-        /// Keys and revisions of its documents.
+        /// Keys and revisions of the sender's documents.
         docs: Vec<(SmolStr, u64)>,
     },
-    /// News for the receiver and for those it passes them on to.
+    /// An update for the receiver and its children in the distribution tree.
     Push(Update),
     /// Parts of files, by digest.
     Parts(Vec<Digest>),
-    /// What the receiver, and those below it in the zone's tree, have in force.
+    /// The generations in force at the receiver and below it in the zone's tree.
     Survey,
 }
 
-/// Answers a [`SpreadRequest`].
+/// Answer to a [`SpreadRequest`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum SpreadReply {
-    /// What is newer here.
+    /// What is newer at the receiver of the request.
     Update(Update),
-    /// The parts that are here, as many as fit into one message.
+    /// The parts that it has, as many as fit into one message.
     Parts(Vec<Bytes>),
-    /// The push was taken in.
+    /// The push was received.
     Ack,
     /// Answer to [`SpreadRequest::Survey`].
     Survey(Survey),
 }
 
-/// News of the configuration and the plans.
+/// Changes of the configuration and the plans.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Update {
-    /// What changed in the configuration.
+    /// Changed files of the configuration; `None` if it did not change.
     pub delta: Option<Delta>,
     /// Parts of the changed files, as many as fit.
     pub parts: Vec<Bytes>,
@@ -96,32 +97,32 @@
 }
 
 impl Update {
-    /// Whether it brings nothing.
+    /// Whether the update has no changes.
     pub fn is_empty(&self) -> bool {
         self.delta.is_none() && self.docs.is_empty()
     }
 }
 
-/// What some processes have in force.
+/// Generations in force at a set of processes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Survey {
-    /// How many processes.
+    /// Processes that answered.
     pub processes: u32,
     /// Processes that did not answer.
     pub silent: u32,
-    /// The lowest generation among them.
+    /// Lowest generation in force among them.
     pub lowest: Generation,
-    /// The highest generation among them.
+    /// Highest generation in force among them.
     pub highest: Generation,
 }
 
 impl Survey {
-    /// A survey of one process.
+    /// Survey of a single process.
     pub fn of(generation: Generation) -> Survey {
         Survey { processes: 1, silent: 0, lowest: generation, highest: generation }
     }
 
-    /// Puts two surveys together.
+    /// Survey of the processes of both.
     pub fn merge(self, other: Survey) -> Survey {
         Survey {
             processes: self.processes + other.processes,
@@ -132,14 +133,15 @@
     }
 }
 
-/// The documents one process has.
+/// The documents of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Docs {
     by_key: BTreeMap<SmolStr, Doc>,
 }
 
 impl Docs {
-    /// Takes `doc` in if it is newer than what is here, and says whether it was.
+    /// Inserts `doc` if it is newer than the stored one and there is room. Returns whether it was
+    /// inserted.
     pub fn insert_newer(&mut self, doc: Doc) -> bool {
         let known = self.by_key.get(&doc.key);
         let fits = known.is_some() || self.by_key.len() < MAX_DOCS;
@@ -150,17 +152,18 @@
         newer && fits
     }
 
-    /// The document `key`.
+    /// The document with this key.
     pub fn get(&self, key: &str) -> Option<&Doc> {
         self.by_key.get(key)
     }
 
-    /// Keys and revisions of everything here.
+    /// Keys and revisions of all documents.
     pub fn revisions(&self) -> Vec<(SmolStr, u64)> {
         self.by_key.values().map(|doc| (doc.key.clone(), doc.revision)).collect()
     }
 
-    /// A number that differs, but for chance, between processes whose documents differ.
+    /// Hash of all keys and revisions. Processes with different documents have different hashes,
+    /// save for collisions.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         for doc in self.by_key.values() {
@@ -171,7 +174,7 @@
         u64::from_be_bytes(std::array::from_fn(|at| hash.as_bytes()[at]))
     }
 
-    /// The documents that are newer here than in `theirs`. O(n log n) in the documents.
+    /// The documents that are newer than `peer_revisions`. O(n log n) in the documents.
     pub fn newer_than(&self, peer_revisions: &[(SmolStr, u64)]) -> Vec<Doc> {
         let peer_revisions: BTreeMap<&SmolStr, u64> =
             peer_revisions.iter().map(|(k, r)| (k, *r)).collect();
@@ -182,25 +185,26 @@
     }
 }
 
-/// A part that a process lacks.
+/// A part of a file that this process lacks.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct MissingPart {
-    /// Its digest.
+    /// Digest of its bytes.
     pub digest: Digest,
     /// Its key on the platform.
     pub key: SmolStr,
 }
 
-/// What became of an offered delta.
+/// Outcome of [`Files::apply`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ApplyOutcome {
-    /// It is not newer than what is in force.
+    /// The delta is not newer than the generation in force.
     Stale,
-    /// It is in force now; the problems are those of keys that this process does not know.
+    /// The delta is in force. The problems concern keys that this process does not know.
     Applied(Vec<Problem>),
-    /// These parts are needed first.
+    /// These parts are required first.
     MissingParts(Vec<MissingPart>),
-    /// This process is too far behind for the delta: ask for the whole list.
+    /// The delta starts after the generation in force or was made from other files; the whole list
+    /// is required.
     Gap,
 }
 
@@ -210,7 +214,7 @@
     parsed: Arc<ParsedFile>,
 }
 
-/// The files of the configuration in force in one process.
+/// The files of the configuration in force at one process.
 #[derive(Clone, Debug, Default)]
 pub struct Files {
     list: FileList,
@@ -219,7 +223,7 @@
 }
 
 impl Files {
-    /// The list in force.
+    /// The file list in force.
     pub fn list(&self) -> &FileList {
         &self.list
     }
@@ -229,7 +233,7 @@
         self.config.clone()
     }
 
-    /// Puts `delta` in force if it is newer and every part is here or in `parts`. Only changed
+    /// Puts `delta` in force if it is newer and each part is stored or in `parts`. Only changed
     /// files are parsed; merging is O(n log n) in all entries.
     pub fn apply(&mut self, delta: &Delta, parts: &[Bytes]) -> ApplyOutcome {
         if delta.to <= self.list.generation {
@@ -273,7 +277,7 @@
         ApplyOutcome::Applied(problems)
     }
 
-    /// What is newer here than `generation`, with parts as far as they fit.
+    /// The changes since `generation`, with as many parts as fit; `None` if there are none.
     pub fn newer_than(&self, generation: Generation) -> Option<Update> {
         if self.list.generation <= generation {
             return None;
@@ -293,7 +297,7 @@
         Some(Update { delta: Some(delta), parts, docs: Vec::new() })
     }
 
-    /// Those of the asked parts that are here, as many as fit into one message.
+    /// Those of the requested parts that are stored, as many as fit into one message.
     pub fn parts(&self, asked: &[Digest]) -> Vec<Bytes> {
         let held: HashMap<Digest, &Bytes> =
             self.held.values().flat_map(|file| file.parts.iter().map(|(d, b)| (*d, b))).collect();
@@ -308,7 +312,7 @@
             .collect()
     }
 
-    /// Bytes of the files held.
+    /// Bytes of all stored parts.
     pub fn len_bytes(&self) -> usize {
         self.held.values().flat_map(|file| file.parts.iter()).map(|(_, bytes)| bytes.len()).sum()
     }
@@ -335,13 +339,13 @@
     absent.map(|(digest, _)| MissingPart { digest: *digest, key: part_key(file.changed, *digest) })
 }
 
-/// The platform's key of a part. The generation is part of it, so that a part may be deleted once
-/// its generation is replaced, without asking whether a later one holds the same bytes.
+/// Platform key of a part. The key contains the generation, so that the part can be deleted once
+/// that generation is replaced, without checking whether a later one has the same bytes.
 pub fn part_key(changed: Generation, digest: Digest) -> SmolStr {
     format!("config/part/{changed}/{}", digest.to_hex()).into()
 }
 
-/// The platform's key of a piece of an encoded file list.
+/// Platform key of a piece of an encoded file list.
 pub fn list_key(generation: Generation, digest: Digest) -> SmolStr {
     format!("config/list/{generation}/{}", digest.to_hex()).into()
 }
--- a/core/src/swarm.rs
+++ b/core/src/swarm.rs
@@ -1,11 +1,11 @@
-//! The weight swarm: who asks whom for which chunk now.
+//! Distribution of model weights: which host requests which chunk from whom.
 //!
-//! Each agent decides for itself. First cheap structure, [`topology`]: rendezvous hashing over the
-//! live hosts names, for each chunk, the one host that takes it from the origin, the one that takes
-//! it into each region and the one that takes it into each availability zone, so that each border
-//! carries about one copy. Then [`pull`]: inside a zone a host takes the rarest chunks of a bounded
-//! set of neighbours, several at once. [`peers`] keeps what each peer has proved to be worth, and
-//! [`budget`] bounds the bytes that leave the origin whatever the agents believe of each other.
+//! Each agent decides for itself. [`topology`] applies rendezvous hashing to the live hosts and
+//! names, for each chunk, the one host that pulls it from the origin and the one that pulls it into
+//! each region and each availability zone, so that about one copy crosses each border. Inside a
+//! zone, [`host`] requests the rarest chunks from a bounded set of neighbours, several at once.
+//! [`peers`] tracks the liveness and the error rate of each peer, and [`budget`] bounds the bytes
+//! that leave the origin even when the agents disagree about which hosts are live.
 
 pub mod bitmap;
 pub mod budget;
--- a/core/src/swarm/bitmap.rs
+++ b/core/src/swarm/bitmap.rs
@@ -1,11 +1,10 @@
-//! Which chunks of a version a host has, one bit a chunk.
+//! The set of chunks of a version that a host has.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::manifest::MAX_CHUNKS;
 
-/// Bits of one word.
 const WORD: usize = 64;
 
 /// One bit a chunk, in manifest order. Bits beyond the end read as 0.
@@ -25,7 +24,8 @@
         self.words.get(index / WORD).is_some_and(|word| word >> (index % WORD) & 1 == 1)
     }
 
-    /// Sets bit `index`, growing up to the longest manifest. Says whether it was 0.
+    /// Sets bit `index`, growing up to [`MAX_CHUNKS`] bits. Returns whether the bit was 0 before;
+    /// false for an index beyond that.
     pub fn set(&mut self, index: usize) -> bool {
         if index >= MAX_CHUNKS || self.get(index) {
             return false;
@@ -43,13 +43,13 @@
         self.words.iter().map(|word| word.count_ones() as usize).sum()
     }
 
-    /// Whether a peer may send this for a version of `len` chunks: a longer one is a lie or an
-    /// attack on this host's memory.
+    /// Whether this is a valid bitmap for a version of `len` chunks. A peer that sends a longer one
+    /// is faulty or tries to exhaust this host's memory.
     pub fn fits(&self, len: usize) -> bool {
         self.words.len() <= len.div_ceil(WORD)
     }
 
-    /// Bytes it takes on the wire at most.
+    /// Upper bound of the encoded size in bytes.
     pub fn wire_len(&self) -> usize {
         self.words.len() * 10 + 4
     }
--- a/core/src/swarm/caches.rs
+++ b/core/src/swarm/caches.rs
@@ -1,4 +1,4 @@
-//! Which chunks are asked of caches.
+//! Selects the chunks that are requested from caches.
 
 use rand::Rng;
 use rand::RngExt;
@@ -12,15 +12,17 @@
 use super::schedule::NEW_VERSION_POLL_DELAY;
 use crate::time::Time;
 
-/// Chunks under way from caches at once: enough to keep the link busy while each waits for its next piece.
+/// Requests in flight to caches: enough to keep the link busy while some wait for the cache to
+/// receive their chunk.
 const PIPELINE_FROM_CACHES: usize = 5;
 
-/// Missing chunks among which one is drawn to be asked of a cache. All hosts ask for the same ones at about
-/// the same time, in the order in which they come from the origin, but not all for the same one at once.
+/// Missing chunks from which the next one is drawn at random. All hosts request the same chunks at
+/// about the same time, in the order in which caches pull them from the origin, but not all the
+/// same chunk at once.
 const CACHE_WINDOW: usize = 8;
 
 impl Swarm {
-    /// Asks caches for the next missing chunks.
+    /// Requests the next missing chunks from caches.
     pub(super) fn request_from_caches<R: Rng>(
         &mut self,
         n: usize,
@@ -48,8 +50,9 @@
         }
     }
 
-    /// Whether chunks of a version are asked of caches. A host that is new takes a version that its
-    /// neighbours have had for long from them: what caches lack would come from the origin once more.
+    /// Whether chunks of a version are requested from caches. A new host takes a version that a
+    /// neighbour holds completely from its neighbours: chunks that the caches lack would leave the
+    /// origin once more.
     pub(super) fn uses_caches(&self, n: usize, now: Time) -> bool {
         let download = &self.downloads[n];
         if !self.has_caches || !download.has_manifest {
@@ -63,13 +66,13 @@
                 || now.passed(download.manifest_at, NEW_VERSION_POLL_DELAY))
     }
 
-    /// Whether all live neighbours have answered a poll for a version.
+    /// Whether every neighbour has been reached and as many bitmaps of a version have arrived.
     pub(super) fn neighbours_answered_polls(&self, n: usize) -> bool {
         let near = self.neighbours.iter().filter(|id| self.peers.has_answered(**id)).count();
         near == self.neighbours.len() && self.downloads[n].availability.len() >= near
     }
 
-    /// Whether a chunk comes from a cache and need not be brought in by this host.
+    /// Whether a chunk comes from a cache, so that this host need not pull it as its owner.
     pub(super) fn is_cached(&self, chunk: &ChunkState) -> bool {
         self.has_caches && chunk.cache_failures < MAX_CACHE_FAILURES
     }
--- a/core/src/swarm/download.rs
+++ b/core/src/swarm/download.rs
@@ -1,4 +1,4 @@
-//! One version on its way to this host: what is missing, who has it, where it comes from.
+//! State of one version that is being downloaded: missing chunks, their holders and their sources.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,33 +13,34 @@
 use crate::manifest::Manifest;
 use crate::time::Time;
 
-/// Asks for one chunk under way at once; the second only when the first is late.
+/// Requests in flight for one chunk; the second is sent only when the first is late.
 pub(super) const MAX_PARALLEL_REQUESTS: u8 = 2;
 
-/// The same for an overdue chunk: two owners may be slow, and a neighbour may have it by now.
+/// The same for an overdue chunk: two owners may be slow while a neighbour has the chunk by now.
 const MAX_PARALLEL_REQUESTS_OVERDUE: u8 = 3;
 
-/// Failures of caches after which a chunk is left to the swarm.
+/// Failed cache requests after which a chunk is left to peers and the origin.
 pub(super) const MAX_CACHE_FAILURES: u8 = 3;
 
-/// Missing chunks on offer that are compared for one request.
+/// Missing chunks that are compared for one request.
 const MAX_COMPARED_CHUNKS: usize = 64;
 
-/// Loads this close count as equal, so that rarity decides between them.
+/// Load difference up to which peers count as equally busy, so that rarity decides.
 const LOAD_TOLERANCE: u32 = 2;
 
-/// Part of a version's chunks, here or on offer near, from which on the time for the rest is counted.
-/// Chunks come through up to three owners, so with a fifth of all links slow half of them come in time.
+/// Share of the chunks, held here or offered by neighbours, at which the deadline for the rest is
+/// set. Each chunk has up to three owners, so with a fifth of all links slow half of the chunks
+/// arrive in time.
 const INITIAL_SHARE: f64 = 0.4;
 
-/// Time for the rest, in times of the first part: at the same pace it takes 0.6 / 0.4.
+/// Time for the rest relative to the initial share: 0.6 / 0.4 at the same pace.
 const REST_TIME_FACTOR: f64 = 1.5;
 
-/// Least time that the rest may take. Asks, polls and the way through another zone take some 0.5 s
-/// whatever the size of a version.
+/// Minimum time for the rest. Requests, polls and the path through another zone take about 0.5 s
+/// for a version of any size.
 const MIN_REST_TIME: Duration = Duration::from_secs(1);
 
-/// One chunk of a version.
+/// Download state of one chunk.
 #[derive(Clone, Debug)]
 pub(super) struct ChunkState {
     pub(super) digest: Digest,
@@ -48,21 +49,22 @@
     pub(super) source: Source,
     pub(super) flights: u8,
     pub(super) requested_at: Time,
-    /// When its owner was last asked.
+    /// When the chunk was last requested as one that this host owns.
     pub(super) owner_requested_at: Option<Time>,
-    /// How often it was asked for as a chunk that comes from the origin.
+    /// Requests sent while the origin was the source of the chunk.
     pub(super) origin_attempts: u32,
     pub(super) holders: u16,
-    /// How often a cache that was asked for it failed.
+    /// Requests to caches that failed.
     pub(super) cache_failures: u8,
-    /// Whether the same bytes stand earlier in the version; that place alone is asked for.
+    /// Whether an earlier chunk of the version has the same digest. Only the first one is
+    /// requested.
     pub(super) is_duplicate: bool,
-    /// Whether it should be near by now and no neighbour sends it, so that others than its owner
-    /// bring it in, too.
+    /// Whether its deadline has passed and no neighbour sends it, so that further hosts pull it
+    /// too.
     pub(super) is_overdue: bool,
 }
 
-/// The state of one version.
+/// Download state of one version.
 #[derive(Clone, Debug)]
 pub(super) struct Download {
     pub(super) version: Digest,
@@ -73,9 +75,10 @@
     pub(super) have: Bitmap,
     pub(super) missing: usize,
     pub(super) availability: BTreeMap<PeerId, Bitmap>,
-    /// Missing chunks whose source is not the neighbours, in an order common to all hosts.
+    /// Missing chunks that this host pulls from the origin or another zone, in an order that all
+    /// hosts share.
     pub(super) owned: Vec<u32>,
-    /// All chunks in an order common to all hosts, in which caches are asked for them.
+    /// All chunks in the order in which they are requested from caches, which all hosts share.
     pub(super) cache_order: Vec<u32>,
     pub(super) watched_owners: BTreeSet<PeerId>,
     pub(super) assigned_for: Option<(u64, usize, usize)>,
@@ -83,7 +86,7 @@
     pub(super) manifest_at: Time,
     /// Whether this host has held no version before, so that others may have had this one for long.
     pub(super) is_first_version: bool,
-    /// When [`INITIAL_SHARE`] of the chunks was here or on offer near.
+    /// When [`INITIAL_SHARE`] was reached.
     initial_share_at: Option<Time>,
 }
 
@@ -113,7 +116,7 @@
         self.has_manifest && self.missing == 0
     }
 
-    /// Takes the manifest in; `is_here` says which chunks the store already has.
+    /// Creates the state of each chunk. `is_stored` tells which chunks the store already has.
     pub(super) fn set_manifest(
         &mut self,
         manifest: &Manifest,
@@ -158,7 +161,7 @@
         }
     }
 
-    /// A chunk is in the store now. O(its places in the version).
+    /// Marks a chunk as stored. O(its occurrences in the version).
     pub(super) fn mark_stored(&mut self, digest: Digest, now: Time) {
         let locations = self.index.get(&digest).cloned().unwrap_or_default();
         for n in locations {
@@ -169,7 +172,7 @@
         }
     }
 
-    /// The first place of a chunk in the version; requests count there.
+    /// Index of the first occurrence of a chunk, where its requests are counted.
     pub(super) fn first_index_of(&self, digest: Digest) -> Option<usize> {
         self.index.get(&digest).and_then(|locations| locations.first()).map(|n| *n as usize)
     }
@@ -182,7 +185,8 @@
         }
     }
 
-    /// A neighbour told what it has. Says whether it may be believed so far. O(chunks).
+    /// Replaces the bitmap of a neighbour. Returns false, and ignores it, if it is too long for the
+    /// version. O(chunks).
     pub(super) fn set_availability(&mut self, peer: PeerId, map: Bitmap) -> bool {
         if self.has_manifest && !map.fits(self.chunks.len()) {
             return false;
@@ -200,12 +204,13 @@
         }
     }
 
-    /// The chunk to ask for next and the peer to ask: among [`MAX_COMPARED_CHUNKS`] missing chunks from a
-    /// random place on, first the one whose holder's link is least busy, then the rarest.
+    /// The next chunk to request and the peer to ask. Compares [`MAX_COMPARED_CHUNKS`] missing
+    /// chunks from a random index on and prefers the holder with the least busy link, then the
+    /// rarest chunk.
     ///
-    /// Strictly rarest first was measured and left: the whole zone asks the one owner of a new chunk
-    /// at once, and its link queues while others idle. `load` is `None` for peers not to be asked.
-    /// O(chunks) when little is on offer, O([`MAX_COMPARED_CHUNKS`] × neighbours) else.
+    /// Strictly rarest first is slower: the whole zone asks the only owner of a new chunk at once,
+    /// and its link queues while others idle. `load` is `None` for peers that must not be asked.
+    /// O(chunks) when few chunks are offered, O([`MAX_COMPARED_CHUNKS`] × neighbours) otherwise.
     pub(super) fn choose_chunk(
         &self,
         random: u64,
@@ -244,7 +249,7 @@
         best.map(|(_, n, peer)| (n, peer))
     }
 
-    /// The first `most` missing chunks that are to be asked of caches. O(chunks).
+    /// The first `most` missing chunks that may be requested from caches. O(chunks).
     pub(super) fn cache_candidates(&self, most: usize) -> Vec<usize> {
         let order = self.cache_order.iter().map(|index| *index as usize);
         let is_wanted = |index: &usize| {
@@ -256,20 +261,20 @@
         order.filter(is_wanted).take(most).collect()
     }
 
-    /// Whether any neighbour has all of it. O(neighbours).
+    /// Whether any neighbour has the complete version. O(neighbours).
     pub(super) fn has_complete_neighbour(&self) -> bool {
         self.availability.values().any(|map| map.count() == self.chunks.len())
     }
 
-    /// The share of chunks that are here or on offer near. O(chunks).
+    /// Share of the chunks that are held here or offered by a neighbour. O(chunks).
     pub(super) fn available_share(&self) -> f64 {
         let is_near = |n: &usize| self.have.get(*n) || self.chunks[*n].holders > 0;
         let near = (0..self.chunks.len()).filter(is_near).count();
         near as f64 / self.chunks.len().max(1) as f64
     }
 
-    /// Periods by which what is still missing near is overdue. A period follows from the time that the
-    /// first part took, so it fits models and links of any size.
+    /// Number of periods by which the rest of the version is overdue. The period follows from the
+    /// time that [`INITIAL_SHARE`] took, so it suits models and links of any size.
     pub(super) fn overdue_periods(&mut self, now: Time) -> usize {
         if self.initial_share_at.is_none() && self.available_share() >= INITIAL_SHARE {
             self.initial_share_at = Some(now);
--- a/core/src/swarm/host.rs
+++ b/core/src/swarm/host.rs
@@ -1,7 +1,7 @@
-//! Decides which requests for weights go out now.
+//! This host's part in the distribution of weights: a state machine without I/O.
 //!
-//! The caller carries out each [`Request`], checks what comes against its digest, and reports how it
-//! ended. Nothing here waits, sends or stores.
+//! [`Swarm::step`] returns the requests to send. The caller sends each [`Request`], checks the
+//! answer against its digest, stores it, and reports the outcome to [`Swarm::finish`].
 
 use std::time::Duration;
 
@@ -31,18 +31,19 @@
 use crate::manifest::Manifest;
 use crate::time::Time;
 
-/// Neighbours a host exchanges chunks with; bounds its messages whatever the fleet's size.
+/// Neighbours that a host exchanges chunks with. Bounds its messages independently of the number of
+/// hosts.
 pub const MAX_NEIGHBOURS: usize = 12;
 
-/// First and longest wait after the origin or its budget refused. A spent budget stays spent for
-/// long, and each try costs the platform two reads.
+/// Delay after the origin or its budget refused a request; doubles up to the maximum. An exhausted
+/// budget stays exhausted for long, and each attempt costs two reads on the platform.
 const INITIAL_ORIGIN_RETRY_DELAY: Duration = Duration::from_millis(500);
 const MAX_ORIGIN_RETRY_DELAY: Duration = Duration::from_secs(16);
 
-/// Versions on their way at once; more wait.
+/// Versions that are downloaded at once; further ones wait.
 pub const MAX_DOWNLOADS: usize = 8;
 
-/// This host's part in the swarm.
+/// Downloads of this host and its view of the other hosts.
 #[derive(Debug)]
 pub struct Swarm {
     pub(super) strategy: Strategy,
@@ -57,16 +58,16 @@
     pub(super) origin_retry_delay: Duration,
     max_origin_retry_delay: Duration,
     pub(super) is_link_shared: bool,
-    /// Whether caches hand out chunks.
+    /// Whether caches serve chunks.
     pub(super) has_caches: bool,
-    /// Whether any version has been here as a whole.
+    /// Whether any version has ever been complete on this host.
     has_completed_version: bool,
     pub(super) pipeline: PipelineLimits,
     pub(super) counts: Counts,
 }
 
 impl Swarm {
-    /// A swarm of one; peers come with [`Swarm::set_peers`].
+    /// Creates the state of host `me` without peers; [`Swarm::set_peers`] adds them.
     pub fn new(me: &PeerLocation, strategy: Strategy) -> Swarm {
         let mut peers = Peers::default();
         let ids = peers.set(std::slice::from_ref(me));
@@ -91,19 +92,19 @@
         }
     }
 
-    /// Sets how many chunks are under way at once.
+    /// Sets the limits on requests in flight.
     pub fn set_pipeline_limits(&mut self, pipeline: PipelineLimits) {
         self.pipeline = pipeline;
     }
 
-    /// Sets the longest wait before the origin is asked again. Where no budget guards the origin, a
-    /// try costs little, and a wait that outlives an outage costs every host the version.
+    /// Sets the maximum delay before the origin is asked again. Where no budget guards the origin,
+    /// an attempt is cheap, and a delay that outlasts an outage delays the version on every host.
     pub fn set_max_origin_retry_delay(&mut self, longest: Duration) {
         self.max_origin_retry_delay = longest;
         self.origin_retry_delay = self.origin_retry_delay.min(longest);
     }
 
-    /// Takes in the hosts that take part, this one among them.
+    /// Sets the current members, including this host, and chooses its neighbours among them.
     pub fn set_peers(&mut self, locations: &[PeerLocation], origin_region: Option<&RegionName>) {
         let ids = self.peers.set(locations);
         self.topology = Topology::new(self.me, &ids, origin_region);
@@ -124,13 +125,13 @@
         }
     }
 
-    /// Where a peer stands.
+    /// Zone and region of a peer.
     pub fn location(&self, id: PeerId) -> &PeerLocation {
         &self.peers.get(id).location
     }
 
-    /// The versions that this host is to have. Others are dropped at once with all their state;
-    /// what the store keeps of their chunks is the store's to decide.
+    /// Sets the versions to download; those beyond [`MAX_DOWNLOADS`] are ignored. The state of all
+    /// other versions is dropped. Their stored chunks are up to the store.
     pub fn set_wanted_versions(&mut self, versions: &[Digest], now: Time) {
         self.downloads.retain(|download| versions.contains(&download.version));
         for version in versions.iter().take(MAX_DOWNLOADS) {
@@ -140,7 +141,8 @@
         }
     }
 
-    /// The manifest of a version is here; `is_here` says which of its chunks are, too.
+    /// Sets the manifest of a version, which has to be wanted. `is_stored` tells which of its
+    /// chunks the store has.
     pub fn set_manifest(
         &mut self,
         manifest: &Manifest,
@@ -150,7 +152,7 @@
         self.set_manifest_for(manifest.digest(), manifest, is_stored, now);
     }
 
-    /// Like [`Swarm::set_manifest`], where something else than the manifest's digest names the version.
+    /// Like [`Swarm::set_manifest`], for a version that is not named by the digest of its manifest.
     pub fn set_manifest_for(
         &mut self,
         version: Digest,
@@ -163,39 +165,41 @@
         }
     }
 
-    /// Whether all of a version is here.
+    /// Whether all chunks of a version are stored. False for a version that is not wanted.
     pub fn is_complete(&self, version: Digest) -> bool {
         self.downloads.iter().any(|d| d.version == version && d.is_complete())
     }
 
-    /// The share of a version's chunks that are here or on offer near: those that need neither the
-    /// origin nor another zone any more.
+    /// Share of a version's chunks that are stored or offered by a neighbour, and so need neither
+    /// the origin nor another zone. 0 without a manifest.
     pub fn available_share(&self, version: Digest) -> f64 {
         let download = self.downloads.iter().find(|d| d.version == version && d.has_manifest);
         download.map_or(0.0, Download::available_share)
     }
 
-    /// Chunks still missing of all versions.
+    /// Missing chunks of all versions.
     pub fn missing(&self) -> usize {
         self.downloads.iter().map(|download| download.missing).sum()
     }
 
-    /// Whether live requests run on this host's link, which weights then leave room for.
+    /// Sets whether requests of callers use this host's link, which limits the chunk requests in
+    /// flight.
     pub fn set_link_shared(&mut self, is_shared: bool) {
         self.is_link_shared = is_shared;
     }
 
-    /// Whether caches hand out chunks. What they bring is not taken from the origin or other zones.
+    /// Sets whether caches serve chunks. What they serve is not pulled from the origin or from
+    /// other zones.
     pub fn set_caches(&mut self, has_caches: bool) {
         self.has_caches = has_caches;
     }
 
-    /// What was asked so far.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Peers that are down or demoted, for the state dump.
+    /// Neighbours that are down or demoted, each with whether it is live, for the state dump.
     pub fn degraded_neighbours(&self) -> impl Iterator<Item = (&PeerLocation, bool)> + '_ {
         let neighbours = self.neighbours.iter().map(|id| self.peers.get(*id));
         neighbours
@@ -203,7 +207,8 @@
             .map(|peer| (&peer.location, peer.is_live()))
     }
 
-    /// A peer told what it has of a version and how many chunks wait on its link.
+    /// Records an answer of a peer with its chunks of a version and the number of chunks queued on
+    /// its link. Only bitmaps of neighbours are kept.
     pub fn record_availability(
         &mut self,
         id: PeerId,
@@ -225,7 +230,8 @@
         }
     }
 
-    /// The requests to send now. Call it after every [`Swarm::finish`] and at least every 50 ms.
+    /// Returns the requests to send now. Call it after every [`Swarm::finish`] and at least every
+    /// 50 ms.
     pub fn step<R: Rng>(&mut self, now: Time, rng: &mut R) -> Vec<Request> {
         let mut requests = Vec::new();
         self.expire_overdue_flights(now);
@@ -247,7 +253,8 @@
         requests
     }
 
-    /// Requests whose executor never reported back must not hold their place for ever.
+    /// Ends requests whose outcome the caller never reported, so that they do not block the
+    /// pipeline.
     fn expire_overdue_flights(&mut self, now: Time) {
         let late: Vec<FlightKey> = self
             .flights
@@ -260,7 +267,9 @@
         }
     }
 
-    /// A request has ended. Unknown keys, of versions dropped meanwhile, are ignored.
+    /// Reports the outcome of a request. Unknown keys, such as those of expired requests, are
+    /// ignored. For a version that is no longer wanted, only the state of the destination and the
+    /// counters change.
     pub fn finish(&mut self, key: FlightKey, outcome: RequestOutcome, now: Time) {
         let Some(flight) = self.flights.remove(key) else {
             return;
@@ -268,9 +277,9 @@
         if let Destination::Peer(id) = flight.destination {
             self.record_peer_outcome(id, &flight, &outcome, now);
         } else if flight.destination == Destination::Cache {
-            // Whoever carries the requests out keeps from a cache that failed.
+            // The caller avoids a cache that failed.
         } else if outcome == RequestOutcome::AlreadyPulled {
-            // The chunk's next try goes to a peer; other chunks need not wait.
+            // Other chunks may still be pulled at once; this one is requested from a peer next.
         } else if !matches!(outcome, RequestOutcome::Stored | RequestOutcome::Manifest(_)) {
             self.origin_retry_at = now + self.origin_retry_delay;
             self.origin_retry_delay =
@@ -315,7 +324,7 @@
         }
     }
 
-    /// A chunk is in the store; every version that shares it has it now.
+    /// Marks a chunk as stored in every version that contains it.
     pub fn mark_stored(&mut self, digest: Digest, now: Time) {
         for download in &mut self.downloads {
             download.mark_stored(digest, now);
@@ -355,7 +364,8 @@
             RequestOutcome::TimedOut => Fault::TimedOut,
             RequestOutcome::Unreachable => Fault::Unreachable,
         };
-        // A late chunk proves a slow link, not a dead host; polls judge that.
+        // A late chunk indicates a slow link, not a dead host; only a poll that times out is a
+        // failure.
         let slow_chunk = fault == Fault::TimedOut && flight.kind != RequestKind::Have;
         if slow_chunk {
             let peer = self.peers.get_mut(id);
--- a/core/src/swarm/peers.rs
+++ b/core/src/swarm/peers.rs
@@ -1,4 +1,4 @@
-//! What each peer has proved to be worth: live or silent, quick or busy, honest or not.
+//! Liveness, load and error rate of each peer.
 
 use std::time::Duration;
 
@@ -7,37 +7,39 @@
 use crate::ids::HostName;
 use crate::time::Time;
 
-/// Failures in a row after which a silent peer counts as down. One lost answer is no proof.
+/// Consecutive timeouts after which a peer counts as down. A single lost answer is no proof.
 const FAILURES_UNTIL_DOWN: u8 = 2;
 
-/// Hosts of one zone that must be down, with none heard since, for the whole zone to count as cut
-/// off. Without this each owner of a cut zone would have to time out one after the other.
+/// Hosts of one zone that must be down, with no answer from the zone since the first went down, for
+/// the whole zone to count as partitioned. Otherwise each owner in such a zone would have to time
+/// out on its own.
 pub const MIN_DOWN_HOSTS_IN_ZONE: usize = 3;
 
-/// First and longest wait before a peer that is down is tried again.
+/// Delay before a peer that is down is polled again; doubles up to the maximum.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(500);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(4);
 
-/// Bad chunks in this many good ones that a damaged link may explain.
+/// Good chunks per bad one at which the errors may be due to a damaged link.
 const GOOD_CHUNKS_PER_BAD: u32 = 8;
 
-/// Bad chunks that are forgiven before shares are looked at.
+/// Bad chunks that are tolerated whatever their ratio.
 const TOLERATED_BAD_CHUNKS: u32 = 2;
 
-/// How a peer failed.
+/// How a request to a peer failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// It did not answer in time.
+    /// The peer did not answer in time.
     TimedOut,
-    /// It cannot be reached.
+    /// No connection to the peer.
     Unreachable,
-    /// It sent bytes that do not match the digest, or denied what it had said it has.
+    /// The peer sent bytes that do not match the digest, a bitmap longer than the version, or
+    /// lacked a chunk that it had offered.
     BadData,
-    /// It refused because it is busy.
+    /// The peer refused the request because of its load.
     Busy,
 }
 
-/// What is known of one peer.
+/// State of one peer.
 #[derive(Clone, Debug)]
 pub struct Peer {
     pub(crate) location: PeerLocation,
@@ -72,28 +74,28 @@
         }
     }
 
-    /// Whether it sent so much that is wrong that others are asked before it.
+    /// Whether the share of bad chunks is so high that other peers are preferred.
     pub fn is_demoted(&self) -> bool {
         self.bad_chunks > TOLERATED_BAD_CHUNKS
             && self.bad_chunks * GOOD_CHUNKS_PER_BAD > self.good_chunks
     }
 
-    /// Whether it counts as live.
+    /// Whether the peer is a member and not down.
     pub fn is_live(&self) -> bool {
         self.present && self.down_since.is_none()
     }
 }
 
-/// All peers ever known, by [`PeerId`].
+/// All peers ever seen, by [`PeerId`].
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
     all: Vec<Peer>,
-    /// Rises whenever somebody goes down or comes back, so that owners are worked out again.
+    /// Rises whenever the set of possible owners may have changed, so that owners are recomputed.
     epoch: u64,
 }
 
 impl Peers {
-    /// Takes in the hosts that take part now and gives their ids. Hosts that left keep theirs.
+    /// Sets the current members and returns their ids. A host that left keeps its id.
     pub fn set(&mut self, locations: &[PeerLocation]) -> Vec<(PeerId, PeerLocation)> {
         for peer in &mut self.all {
             peer.present = false;
@@ -119,12 +121,12 @@
         ids
     }
 
-    /// Rises whenever liveness changes.
+    /// Counter that rises whenever the set of possible owners may have changed.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The peer of `id`.
+    /// State of peer `id`. Panics for an id that [`Peers::set`] did not return.
     pub fn get(&self, id: PeerId) -> &Peer {
         &self.all[id.0 as usize]
     }
@@ -133,19 +135,19 @@
         &mut self.all[id.0 as usize]
     }
 
-    /// Whether `id` ever answered.
+    /// Whether `id` has ever answered.
     pub fn has_answered(&self, id: PeerId) -> bool {
         self.get(id).last_contact != Time::ZERO
     }
 
-    /// Whether `id` may own chunks: an owner that lives but sends damaged ones would hold them back
+    /// Whether `id` may own chunks. A live owner that sends damaged chunks would hold them back
     /// from its whole zone.
     pub fn may_own(&self, id: PeerId) -> bool {
         let peer = self.get(id);
         peer.is_live() && !peer.is_demoted()
     }
 
-    /// It answered: it is live, whatever was thought before.
+    /// Records an answer of `id`, which makes it live again.
     pub fn record_contact(&mut self, id: PeerId, now: Time) {
         let peer = self.get_mut(id);
         peer.last_contact = now;
@@ -156,7 +158,7 @@
         }
     }
 
-    /// It sent a chunk that matches its digest.
+    /// Records a chunk of `id` that matches its digest.
     pub fn record_good_chunk(&mut self, id: PeerId) {
         let peer = self.get_mut(id);
         let before = peer.is_demoted();
@@ -166,7 +168,7 @@
         }
     }
 
-    /// It failed. Says whether it just went down.
+    /// Records a failed request to `id`. Returns whether it went down just now.
     pub fn record_failure(&mut self, id: PeerId, fault: Fault, now: Time) -> bool {
         let peer = self.get_mut(id);
         match fault {
@@ -200,7 +202,8 @@
         went_down
     }
 
-    /// Counts the other hosts of a zone as down, after enough of them proved to be.
+    /// Marks all `hosts` of a zone as down if [`MIN_DOWN_HOSTS_IN_ZONE`] of them are and none of
+    /// them has answered since the first went down. Ignores the zone of this host.
     pub fn mark_zone_down(&mut self, hosts: &[PeerId], me: PeerId, now: Time) {
         let down: Vec<Time> = hosts.iter().filter_map(|id| self.get(*id).down_since).collect();
         let Some(first) = down.iter().min().copied() else {
@@ -218,7 +221,7 @@
         self.epoch += 1;
     }
 
-    /// A peer that is down and due to be tried again, if any; notes the try.
+    /// Whether `id` is down and due for a retry. If so, schedules the next one.
     pub(crate) fn claim_retry(&mut self, id: PeerId, now: Time) -> bool {
         let peer = self.get_mut(id);
         if peer.down_since.is_none() || !peer.present || now < peer.retry_at {
--- a/core/src/swarm/pipeline.rs
+++ b/core/src/swarm/pipeline.rs
@@ -1,41 +1,41 @@
-//! How many chunks are under way at once, and how long answers may take.
+//! Limits on the number of requests in flight and on the time for their answers.
 
 use std::time::Duration;
 
-/// Chunks asked of neighbours at once, and of one neighbour at once.
+/// Chunk requests in flight to all neighbours, and to one neighbour.
 const PIPELINE: u32 = 5;
 const PIPELINE_PER_PEER: u32 = 2;
 
-/// Chunks under way while live requests run on this host's link.
+/// Chunk requests in flight to neighbours while requests of callers use this host's link.
 const PIPELINE_SHARED_LINK: u32 = 2;
 
-/// Chunks pulled from the origin at once.
+/// Requests in flight to the origin.
 const MAX_FROM_ORIGIN: usize = 2;
 
-/// Time for an answer to a poll.
+/// Timeout of a poll.
 pub(super) const POLL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Time for a chunk or a manifest from the origin.
+/// Timeout of a chunk or a manifest from the origin.
 pub(super) const ORIGIN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Chunk timeouts: a multiple of the usual time, within bounds.
+/// The timeout of a chunk is a multiple of the usual chunk time, within these bounds.
 const CHUNK_TIMEOUT_FACTOR: u32 = 6;
 const MIN_CHUNK_TIMEOUT: Duration = Duration::from_millis(1_500);
 const MAX_CHUNK_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A chunk is late, and asked of somebody else too, after this many usual times.
+/// Multiple of the usual chunk time after which a chunk is late and requested from a second peer.
 const LATE_FACTOR: u32 = 3;
 
-/// Chunks under way at once.
+/// Requests in flight at once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PipelineLimits {
-    /// From neighbours, while nothing else uses this host's link.
+    /// To all neighbours, while nothing else uses this host's link.
     pub exclusive_link: u32,
-    /// From neighbours, while live requests use it, too.
+    /// To all neighbours, while requests of callers also use the link.
     pub shared_link: u32,
-    /// From one neighbour.
+    /// To one neighbour.
     pub per_peer: u32,
-    /// From the origin.
+    /// To the origin.
     pub from_origin: usize,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// The time that a chunk usually takes.
+/// Moving average of the time from the request to the arrival of a chunk.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ChunkTime(Duration);
 
@@ -61,17 +61,17 @@
 }
 
 impl ChunkTime {
-    /// A chunk has come after `took`.
+    /// Adds a chunk that arrived after `took`.
     pub(super) fn record(&mut self, took: Duration) {
         self.0 = (self.0 * 7 + took) / 8;
     }
 
-    /// After this a chunk is late.
+    /// Time after which a chunk counts as late.
     pub(super) fn late_after(self) -> Duration {
         self.0 * LATE_FACTOR
     }
 
-    /// After this it no longer counts as under way.
+    /// Time after which a request for a chunk has failed.
     pub(super) fn timeout(self) -> Duration {
         (self.0 * CHUNK_TIMEOUT_FACTOR).clamp(MIN_CHUNK_TIMEOUT, MAX_CHUNK_TIMEOUT)
     }
--- a/core/src/swarm/request.rs
+++ b/core/src/swarm/request.rs
@@ -1,4 +1,4 @@
-//! Requests for weights and how they end.
+//! Requests for manifests, chunks and bitmaps, and their outcomes.
 
 use std::time::Duration;
 
@@ -8,83 +8,85 @@
 use crate::manifest::Manifest;
 use crate::time::Time;
 
-/// Names a request under way.
+/// Identifies a request in flight.
 pub type FlightKey = Key<Flight>;
 
-/// Who is asked.
+/// Where a request is sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Destination {
-    /// The origin; the caller pays from the budget first.
+    /// The origin. The caller charges the pull to the origin budget first.
     Origin,
     /// A peer.
     Peer(PeerId),
-    /// The cache that hands out this chunk; the caller knows which one that is.
+    /// The cache responsible for this chunk. The caller chooses it.
     Cache,
 }
 
-/// What is asked.
+/// What is requested.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestKind {
     /// The manifest of the request's version.
     Manifest,
-    /// A chunk of it.
+    /// A chunk of that version.
     Chunk {
-        /// Its digest.
+        /// Digest of the chunk.
         digest: Digest,
-        /// Its length.
+        /// Length in bytes.
         len: u32,
-        /// Whether the peer may hold the ask until it has the chunk.
+        /// Whether the peer may hold the request until it has the chunk.
         long_poll: bool,
-        /// Whether the origin may be asked although the chunk was pulled from it before.
+        /// Whether the chunk may be pulled from the origin a second time.
         allow_repeat: bool,
     },
-    /// What the peer has of it.
+    /// Which chunks of the version the peer has.
     Have,
 }
 
-/// A request to carry out.
+/// A request for the caller to send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Request {
-    /// Names it in [`Swarm::finish`](super::Swarm::end).
+    /// Key for [`Swarm::finish`](super::Swarm::finish).
     pub flight: FlightKey,
-    /// Who is asked.
+    /// Where it is sent.
     pub destination: Destination,
-    /// The version it is for.
+    /// Version that it belongs to.
     pub version: Digest,
-    /// What is asked.
+    /// What is requested.
     pub kind: RequestKind,
-    /// After this it has failed.
+    /// Time after which it has failed.
     pub timeout: Duration,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RequestOutcome {
-    /// The manifest came and matches its digest.
+    /// The manifest arrived and matches its digest.
     Manifest(Manifest),
-    /// The chunk came, matches its digest and is stored.
+    /// The chunk arrived, matches its digest and is stored.
     Stored,
-    /// The bytes do not match the digest.
+    /// The received bytes do not match the digest.
     Corrupt,
-    /// The peer does not have it.
+    /// The peer does not have the chunk.
     Absent,
-    /// The peer is up and told what it has; see [`Swarm::record_availability`](super::Swarm::record_availability).
+    /// The peer reported its chunks; see
+    /// [`Swarm::record_availability`](super::Swarm::record_availability).
     MapReceived,
-    /// The peer is busy.
+    /// The peer refused the request because of its load.
     Busy,
-    /// The cache does not have it yet and waits for it.
+    /// The cache does not have the chunk yet and is waiting for it.
     Pending,
-    /// No answer in time.
+    /// No answer within the timeout.
     TimedOut,
-    /// The peer cannot be reached.
+    /// No connection to the peer.
     Unreachable,
-    /// The chunk was pulled from the origin before: some host has it or is about to.
+    /// The chunk was pulled from the origin before, so some host has it or will have it soon.
     AlreadyPulled,
-    /// This host has no room or the budget is spent; nobody else is to blame.
+    /// This host lacks disk space, or the origin budget is exhausted; the destination is not at
+    /// fault.
     Deferred,
 }
 
-/// A request under way.
+/// A request in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct Flight {
     pub(super) destination: Destination,
@@ -94,17 +96,17 @@
     pub(super) deadline: Time,
 }
 
-/// Counts of what was asked; the state dump shows them.
+/// Counters of requests for the state dump.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
-    /// Asks for what a peer has.
+    /// Polls sent.
     pub polls: u64,
-    /// Asks for chunks and manifests.
-    pub asks: u64,
-    /// Bytes that did not match their digest.
+    /// Requests sent for chunks and manifests.
+    pub requests: u64,
+    /// Answers that did not match their digest.
     pub corrupt: u64,
-    /// Requests that ran out of time or did not reach the peer.
+    /// Requests that timed out or did not reach their destination.
     pub failed: u64,
-    /// Chunks asked of two peers because the first was late.
+    /// Chunks requested again while an earlier request for them was in flight.
     pub duplicated: u64,
 }
--- a/core/src/swarm/schedule.rs
+++ b/core/src/swarm/schedule.rs
@@ -1,4 +1,4 @@
-//! Which requests go out: manifests, chunks that this host brings in, chunks of caches and neighbours, polls.
+//! Selects the requests to send: manifests, owned chunks, chunks from neighbours, and polls.
 
 use std::time::Duration;
 
@@ -23,40 +23,41 @@
 use crate::ids::Digest;
 use crate::time::Time;
 
-/// Chunks for neighbours that wait on a host's link at most; a host that is this busy is not asked
-/// until it tells that it is not. Short queues spread the asks over all links.
+/// Chunks queued on the link of a host at most. A host with this many is not asked for chunks until
+/// it reports fewer: short queues spread the requests over all links.
 pub const BUSY_QUEUE: u32 = 8;
 
-/// Chunks under way from neighbours while this host still brings in chunks from the origin.
+/// Chunk requests in flight to neighbours while this host still pulls chunks from the origin.
 const PIPELINE_WITH_ORIGIN: u32 = 2;
 
-/// Chunks under way from neighbours beside those from caches.
+/// Chunk requests in flight to neighbours while caches are in use.
 const PIPELINE_WITH_CACHES: u32 = 3;
 
-/// Chunks awaited from owners in other zones at once.
+/// Long polls in flight above which none is sent to an owner in another zone.
 const MAX_LONG_POLLS: usize = 24;
 
-/// How often a neighbour is asked what it has, unless its chunks told it along the way.
+/// Interval between polls of a neighbour. Any contact with it restarts the interval.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for neighbours to tell that they have a chunk, before it is taken from the origin: of a version that has
-/// just been named, and where this host may have joined late.
+/// How long the answers of neighbours are awaited before a chunk is pulled from the origin: for a
+/// version that was just published, and for one that they may have had for long.
 pub(super) const NEW_VERSION_POLL_DELAY: Duration = Duration::from_millis(100);
 const OLD_VERSION_POLL_DELAY: Duration = Duration::from_secs(1);
 
-/// How often an owner that others depend on is asked whether it lives.
+/// Interval between liveness probes of an owner that other hosts depend on, and between retries of
+/// a chunk that only demoted peers offer.
 const OWNER_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a peer may hold an ask for a chunk that it does not have yet.
+/// How long a peer may hold a request for a chunk that it does not have yet.
 pub const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Time without progress after which further hosts hold themselves responsible for a chunk.
+/// Time without progress after which one more host of the zone acts as owner of a chunk.
 const STALL_PERIOD: Duration = Duration::from_millis(5_000);
 
-/// Tries for an origin chunk after which a pull that others made before may be repeated.
+/// Attempts for an origin chunk after which it may be pulled from the origin a second time.
 const MAX_ATTEMPTS_BEFORE_REPEAT: u32 = 2;
 
-/// Wait before an owner is asked for the same chunk again.
+/// Delay before an owner is asked for the same chunk again.
 const OWNER_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 impl Swarm {
@@ -70,12 +71,12 @@
     ) -> Request {
         match kind {
             RequestKind::Have => self.counts.polls += 1,
-            RequestKind::Manifest | RequestKind::Chunk { .. } => self.counts.asks += 1,
+            RequestKind::Manifest | RequestKind::Chunk { .. } => self.counts.requests += 1,
         }
         if let Destination::Peer(id) = destination {
             let peer = self.peers.get_mut(id);
             match kind {
-                // Chunks asked of a dead host must not put off the poll that proves it dead.
+                // Chunk requests to a dead host must not delay the poll that detects its death.
                 RequestKind::Have => peer.polled_at = Some(now),
                 RequestKind::Chunk { long_poll: false, .. } => peer.in_flight += 1,
                 RequestKind::Chunk { .. } | RequestKind::Manifest => {}
@@ -112,13 +113,13 @@
         (now.since(progress_at).as_micros() / STALL_PERIOD.as_micros()) as usize
     }
 
-    /// Works out again where each missing chunk comes from, if a host went or came, and while chunks
-    /// are overdue.
+    /// Assigns a source to each missing chunk again when a host went down or came back, and
+    /// whenever chunks are overdue.
     ///
-    /// An owner whose link has become slow still answers, so it counts as live, and it makes some
-    /// progress, so nothing stalls. Yet all hosts wait for its chunks, and with a tenth of a link a
-    /// version came only after the time in which it had to be in use. So an overdue chunk that no
-    /// neighbour sends is brought in by the next host in its order, too.
+    /// An owner with a slow link still answers, so it counts as live, and it makes some progress,
+    /// so no stall is detected. Every other host waits for its chunks: with a tenth of a link, a
+    /// version arrived only after the time by which it had to be in use. So the next host in the
+    /// order also pulls an overdue chunk that no neighbour sends.
     pub(super) fn assign_sources(&mut self, n: usize, now: Time) {
         let skip = self.skip(self.downloads[n].progress_at, now);
         let overdue_periods = self.downloads[n].overdue_periods(now);
@@ -157,7 +158,7 @@
         download.owned.sort_unstable_by_key(|index| chunks[*index as usize].key);
     }
 
-    /// Whether no neighbour that offers a missing chunk sends it in its usual time.
+    /// Whether no neighbour that offers a missing chunk delivers it in the usual time.
     fn is_stalled(&self, n: usize, index: usize, now: Time) -> bool {
         let download = &self.downloads[n];
         let chunk = &download.chunks[index];
@@ -174,7 +175,7 @@
         self.flights.iter().filter(|(_, flight)| matches(flight)).count()
     }
 
-    /// Asks owners in other zones, or the origin, for the chunks that this host brings in.
+    /// Requests the chunks that this host owns from owners in other zones or from the origin.
     pub(super) fn request_owned_chunks(
         &mut self,
         n: usize,
@@ -223,11 +224,11 @@
         self.downloads[n].owned = owned;
     }
 
-    /// Whom to ask for an owned chunk now; `None` while neighbours offer it or may still do.
+    /// Where an owned chunk is requested next; `None` while neighbours offer it or may still do.
     ///
-    /// A replica that joins late owns chunks that the whole fleet has long had. So neighbours go
-    /// before the origin, and when the origin's budget says that the chunk was pulled before, every
-    /// other try goes to another zone's owner.
+    /// A replica that joins late owns chunks that all other hosts already have. So neighbours come
+    /// before the origin, and while the origin's budget refuses a chunk because it was pulled
+    /// before, every second attempt goes to the owner in another zone.
     fn next_destination(&self, n: usize, index: usize, now: Time) -> Option<Destination> {
         let download = &self.downloads[n];
         let chunk = &download.chunks[index];
@@ -279,8 +280,8 @@
         requests.push(self.launch(destination, version, kind, timeout, now));
     }
 
-    /// Fills the pipeline with the rarest chunks, the version with most missing first, so that
-    /// several versions share the link by need.
+    /// Fills the pipeline with the rarest chunks. The version with most missing chunks comes first,
+    /// so that several versions share the link according to need.
     pub(super) fn request_from_neighbours<R: Rng>(
         &mut self,
         now: Time,
@@ -307,8 +308,9 @@
         }
     }
 
-    /// Chunks from neighbours at once. What this host brings in from the origin exists nowhere else, so
-    /// it goes first on the host's link: an origin that crashes then is more often done with.
+    /// Chunk requests to neighbours in flight at most. A chunk that this host pulls from the origin
+    /// may exist nowhere else, so it takes priority on the host's link: then more is saved if the
+    /// origin crashes.
     fn neighbour_limit(&self, now: Time) -> u32 {
         if (0..self.downloads.len()).any(|n| self.uses_caches(n, now)) {
             return PIPELINE_WITH_CACHES;
@@ -325,7 +327,7 @@
         if self.is_link_shared { self.pipeline.shared_link } else { self.pipeline.exclusive_link }
     }
 
-    /// The next chunk of a version and the neighbour to ask; demoted ones only when no other has it.
+    /// The next chunk of a version and the neighbour to ask. Demoted peers are a last resort.
     fn pick<R: Rng>(&self, n: usize, now: Time, rng: &mut R) -> Option<(usize, PeerId)> {
         let download = &self.downloads[n];
         if download.missing == 0 {
@@ -341,8 +343,8 @@
         let late =
             |chunk: &ChunkState| now.passed(chunk.requested_at, self.chunk_time.late_after());
         let free_or_late = |chunk: &ChunkState| chunk.flights == 0 || late(chunk);
-        // A bad peer is asked only when nobody else has the chunk, and now and then: each try costs
-        // as much of the link as a good chunk.
+        // A demoted peer is asked only when no other peer has the chunk, and only at intervals:
+        // each bad chunk uses as much of the link as a good one.
         let rested = |chunk: &ChunkState| {
             chunk.flights == 0 && now.passed(chunk.requested_at, OWNER_PROBE_INTERVAL)
         };
@@ -387,7 +389,7 @@
         }
     }
 
-    /// One peer that is down and due to be tried again.
+    /// A peer that is down and due for a retry.
     fn retry(&mut self, now: Time) -> Option<PeerId> {
         let all: Vec<PeerId> = self.topology.other_hosts().collect();
         all.into_iter().find(|id| self.peers.claim_retry(*id, now))
--- a/core/src/swarm/topology.rs
+++ b/core/src/swarm/topology.rs
@@ -1,10 +1,11 @@
-//! From whom a host takes a chunk that no neighbour has: pure rendezvous hashing over live hosts.
+//! Owners of chunks by rendezvous hashing over the live hosts.
 //!
-//! For each chunk the regions stand in an order, in each region its zones, in each zone its hosts.
-//! The first host of a zone is the zone's owner of the chunk. Owners take it from the owner before
-//! them: the first region's first zone from the origin, each other region's first zone from the
-//! region before it (a chain, so that no region link carries two copies outward), and the further
-//! zones of a region from its first zone. All other hosts take it inside their zone.
+//! Each chunk imposes an order on the regions, on the zones of each region and on the hosts of each
+//! zone. The first host of a zone owns the chunk there. An owner pulls the chunk from another
+//! owner: in the first zone of the first region from the origin, in the first zone of each other
+//! region from the region before it, and in all other zones from the first zone of the region. The
+//! chain of regions ensures that no link of a region carries two copies outward. Hosts that do not
+//! own the chunk get it inside their zone.
 
 use std::collections::BTreeMap;
 
@@ -13,54 +14,55 @@
 use crate::ids::RegionName;
 use crate::ids::ZoneName;
 
-/// Children of a host in the trees that carry manifests.
+/// Children of a host in the trees that distribute manifests.
 pub const MANIFEST_FANOUT: usize = 4;
 
-/// Stall periods after which an owner without a working source turns to the origin itself.
+/// Stall periods after which an owner without a working source pulls from the origin.
 pub const ORIGIN_FALLBACK_PERIODS: usize = 3;
 
-/// Hosts of a zone that take chunks from the origin. Were each chunk taken by another host, dozens of
-/// downloads would share the origin's link and all end at the same late moment, while the links between the
-/// hosts are idle.
+/// Hosts of a zone that pull chunks from the origin. If any host could, dozens of downloads would
+/// share the origin's link and all finish late at the same time, while the links between the hosts
+/// stay idle.
 pub const ORIGIN_PULLERS: usize = 4;
 
-/// A host known to the swarm; stays the same while the process lives.
+/// Identifies a host for the lifetime of this process.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct PeerId(pub u32);
 
-/// Where a host stands.
+/// Zone and region of a host.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PeerLocation {
-    /// The host.
+    /// Name of the host.
     pub host: HostName,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Its region.
+    /// Region of the zone.
     pub region: RegionName,
 }
 
-/// How a version travels. Products use [`Strategy::Swarm`]; the others are there to be measured against.
+/// How a version is distributed. Hosts use [`Strategy::Swarm`]; the others are baselines for
+/// benchmarks.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Strategy {
-    /// Every host takes everything from the origin.
+    /// Every host pulls all chunks from the origin.
     Origin,
     /// One chain of all hosts, sorted by region and zone.
     Chain,
     /// For each chunk a tree of this fan-out inside each zone.
     Trees(usize),
-    /// Owners carry a chunk into a zone, neighbours exchange it there.
+    /// Owners bring a chunk into each zone, where neighbours exchange it.
     #[default]
     Swarm,
 }
 
-/// Where a chunk comes from.
+/// Where a host gets a chunk.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Source {
     /// The origin.
     Origin,
-    /// This host, which has it or gets it soon.
+    /// A host that has the chunk or will have it soon.
     Peer(PeerId),
-    /// Whichever neighbour has it.
+    /// Any neighbour that offers the chunk.
     Neighbours,
 }
 
@@ -71,7 +73,7 @@
     members: Vec<PeerId>,
 }
 
-/// All hosts that take part, by zone and region.
+/// All members by zone and region, as seen by one host.
 #[derive(Clone, Debug, Default)]
 pub struct Topology {
     me: u32,
@@ -83,14 +85,14 @@
     chain: Vec<PeerId>,
 }
 
-/// Spreads the bits of `x` (the finalizer of splitmix64).
+/// Finalizer of splitmix64: a bijection that spreads the bits of `x`.
 pub fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// The first eight bytes of a digest as a number.
+/// The first eight bytes of a digest as a little-endian number.
 pub fn key_of(digest: Digest) -> u64 {
     u64::from_le_bytes(digest.0[..8].try_into().expect("a digest has 32 bytes"))
 }
@@ -100,7 +102,7 @@
 }
 
 impl Topology {
-    /// The topology of `peers` as `me`, one of them, sees it. O(n log n).
+    /// Builds the topology of `peers`, which include this host, `me`. O(n log n).
     pub fn new(
         me: PeerId,
         peers: &[(PeerId, PeerLocation)],
@@ -145,24 +147,24 @@
         members.unwrap_or_default().iter().copied().filter(|id| id.0 != self.me)
     }
 
-    /// All other hosts.
+    /// All hosts but this one.
     pub fn other_hosts(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.chain.iter().copied().filter(|id| id.0 != self.me)
     }
 
-    /// The hosts that share a zone with `peer`, itself included.
+    /// The hosts of the zone of `peer`, including `peer`; empty if it is no member.
     pub fn zone_members(&self, peer: PeerId) -> &[PeerId] {
         let zone = self.zones.iter().find(|zone| zone.members.contains(&peer));
         zone.map(|zone| zone.members.as_slice()).unwrap_or_default()
     }
 
-    /// A fixed random number for the pair of this host and `peer`.
+    /// Pseudo-random number that is constant for the pair of this host and `peer`.
     pub fn affinity(&self, peer: PeerId) -> u64 {
         let hash = |id| self.hosts.get(&id).copied().unwrap_or_default();
         mix(hash(PeerId(self.me)).rotate_left(17) ^ hash(peer))
     }
 
-    /// The live hosts of a zone in the order in which they answer for `key`. O(z log z).
+    /// The live hosts of a zone in the order in which they own `key`. O(z log z).
     fn order(&self, zone: usize, key: u64, is_live: &dyn Fn(PeerId) -> bool) -> Vec<PeerId> {
         let live = |id: &PeerId| id.0 == self.me || is_live(*id);
         let members = self.zones[zone].members.iter().copied().filter(live);
@@ -172,7 +174,7 @@
         scored.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// The `skip`-th live owner of a zone, or the last if it has fewer. O(z).
+    /// The `skip`-th live owner of a zone, or the last one if there are fewer. O(z) for the first.
     fn owner(
         &self,
         zone: usize,
@@ -195,18 +197,18 @@
         members.min_by_key(|id| mix(self.hosts[id] ^ key))
     }
 
-    /// Whether the chunk of `key` comes into a zone from the origin.
+    /// Whether the chunk of `key` enters a zone directly from the origin.
     fn pulls_from_origin(&self, zone: usize, key: u64, is_live: &dyn Fn(PeerId) -> bool) -> bool {
         let region = self.zones[zone].region;
         self.first_zone(region, key, is_live) == Some(zone)
             && self.upstream_zone(region, key, is_live).is_none()
     }
 
-    /// Where this host takes the chunk of `key` from.
+    /// Where this host gets the chunk of `key`.
     ///
-    /// `skip` counts the stall periods without progress: with each, one more host of the zone holds
-    /// itself responsible and sources further down the order are asked, so that an owner that lives
-    /// but lies cannot hold a chunk back. O(hosts of the zones involved).
+    /// `skip` is the number of stall periods without progress. With each one, one more host of the
+    /// zone acts as an owner and the sources are those further down the order, so that a live but
+    /// faulty owner cannot withhold a chunk. O(hosts of the zones involved).
     pub fn source(
         &self,
         strategy: Strategy,
@@ -233,7 +235,7 @@
         }
     }
 
-    /// The owner of `key` in another live zone; `turn` goes round the zones.
+    /// The owner of `key` in another zone with live hosts; `turn` rotates through these zones.
     pub fn owner_in_other_zone(
         &self,
         key: u64,
@@ -256,9 +258,9 @@
         order.iter().take(skip + 1).any(|id| id.0 == self.me)
     }
 
-    /// The owner of `key` in this host's zone, if this host is the next one after it.
+    /// The owner of `key` in this host's zone, if this host is next in the order after it.
     ///
-    /// Only the next one watches an owner, so a silent owner costs one probe and not one a host.
+    /// Only the next host probes the owner, so a silent owner is probed once and not by each host.
     pub fn owner_to_watch(&self, key: u64, is_live: &dyn Fn(PeerId) -> bool) -> Option<PeerId> {
         let owner = self.owner(self.local_zone, key, is_live, 0)?;
         let next = self.owner(self.local_zone, key, &|id| id != owner && is_live(id), 0)?;
@@ -274,7 +276,7 @@
         zone == self.local_zone || self.zones[zone].members.iter().any(|id| is_live(*id))
     }
 
-    /// The first live zone of a region for `key`.
+    /// The first zone of a region for `key` that has live hosts.
     fn first_zone(
         &self,
         region: usize,
@@ -287,7 +289,7 @@
             .min_by_key(|zone| mix(self.zones[*zone].hash ^ key))
     }
 
-    /// Where the owner of `key` in this host's zone takes it from.
+    /// Where the owner of `key` in this host's zone gets the chunk.
     fn owner_source(&self, key: u64, is_live: &dyn Fn(PeerId) -> bool, skip: usize) -> Source {
         if skip >= ORIGIN_FALLBACK_PERIODS {
             return Source::Origin;
@@ -303,7 +305,7 @@
         owner.map_or(Source::Origin, Source::Peer)
     }
 
-    /// The first zone of the region that `region` takes `key` from; `None` is the origin.
+    /// The first zone of the region that `region` gets `key` from; `None` for the origin.
     fn upstream_zone(
         &self,
         region: usize,
--- a/core/src/weights.rs
+++ b/core/src/weights.rs
@@ -1,4 +1,4 @@
-//! What processes say to each other about weights.
+//! Messages by which processes exchange weights.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -7,53 +7,56 @@
 use crate::ids::Digest;
 use crate::swarm::Bitmap;
 
-/// Milliseconds a peer holds an ask for a chunk that it does not have yet, at most.
+/// Milliseconds that a peer holds a request for data that it does not have yet, at most.
 pub const MAX_LONG_POLL_MS: u16 = 5_000;
 
-/// Asks an agent for weights.
+/// A request to an agent for weights.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum WeightsRequest {
     /// The bytes of a manifest.
     Manifest {
-        /// Its digest.
+        /// Digest of the manifest.
         version: Digest,
-        /// Milliseconds to hold the ask if it is not here yet.
+        /// Milliseconds to hold the request while the agent lacks the manifest; 0 for an immediate
+        /// answer.
         long_poll_ms: u16,
     },
     /// The bytes of a chunk.
     Chunk {
-        /// Its digest.
+        /// Digest of the chunk.
         digest: Digest,
-        /// A version that it belongs to; the answer tells what else of it is here.
+        /// A version that contains the chunk. The answer reports which of its chunks the agent has.
         version: Digest,
-        /// Milliseconds to hold the ask if it is not here yet.
+        /// Milliseconds to hold the request while the agent lacks the chunk; 0 for an immediate
+        /// answer.
         long_poll_ms: u16,
     },
-    /// What is here of a version.
+    /// Which chunks of a version the agent has.
     Have(Digest),
 }
 
-/// What a host has of a version, and how busy its link is.
+/// The chunks of a version that a host has, and the load of its link.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Have {
-    /// Its chunks, in manifest order.
+    /// Its chunks in manifest order.
     pub chunks: Bitmap,
-    /// Chunks waiting on its link.
+    /// Chunks queued on its link.
     pub queue_len: u32,
 }
 
-/// Answers a [`WeightsRequest`].
+/// Answer to a [`WeightsRequest`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum WeightsReply {
-    /// The bytes asked for; the receiver checks them against the digest.
+    /// The requested bytes. The receiver checks them against the digest.
     Bytes {
-        /// The bytes.
+        /// Content of the manifest or the chunk.
         bytes: Bytes,
-        /// What else is here of the version, when that is small beside the bytes.
+        /// The chunks of the version that the agent has, unless this is large compared with the
+        /// bytes.
         have: Option<Have>,
     },
-    /// What is here of the version.
+    /// The chunks of the version that the agent has.
     Have(Have),
-    /// They are not here.
+    /// The agent does not have them.
     Absent,
 }
--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -421,7 +421,7 @@
                 "bytes_limit": self.settings.store_bytes,
                 "chunks_missing": progress.missing,
                 "polls": progress.counts.polls,
-                "asks": progress.counts.asks,
+                "asks": progress.counts.requests,
                 "corrupt": progress.counts.corrupt,
                 "failed": progress.counts.failed,
                 "troubled_neighbours": progress.troubled,
