--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -8,8 +8,8 @@
 
 use mastichaven_core::Config;
 use mastichaven_core::admission::Admission;
-use mastichaven_core::admission::Left;
-use mastichaven_core::admission::Place;
+use mastichaven_core::admission::Permit;
+use mastichaven_core::admission::RequestEnd;
 use mastichaven_core::ids::Digest;
 use mastichaven_node::accepted;
 use mastichaven_node::documents::Documents;
@@ -346,18 +346,22 @@
     }
 
     /// A place at an engine: `None` when it is refused.
-    fn enter(&self, index: usize) -> Option<Option<Place>> {
+    fn enter(&self, index: usize) -> Option<Option<Permit>> {
         let Some(places) = &self.places else {
             return Some(None);
         };
-        let place = places[index].lock().expect("no holder panics").try_enter(1);
+        let place = places[index].lock().expect("no holder panics").try_acquire(1);
         place.map(Some)
     }
 
-    fn leave(&self, index: usize, place: Option<Place>, answer: &Answer) {
+    fn leave(&self, index: usize, place: Option<Permit>, answer: &Answer) {
         if let (Some(places), Some(place)) = (&self.places, place) {
-            let left = if answer.is_whole { Left::Whole(answer.first_token) } else { Left::Early };
-            places[index].lock().expect("no holder panics").leave(place, left);
+            let left = if answer.is_whole {
+                RequestEnd::Complete(answer.first_token)
+            } else {
+                RequestEnd::Aborted
+            };
+            places[index].lock().expect("no holder panics").release(place, left);
         }
     }
 
@@ -419,10 +423,10 @@
 fn admission(fleet: &Fleet, n: usize) -> Admission {
     let mut admission = Admission::cold(PROFILE.warm_limit);
     let is_warm = n >= fleet.engines.len().div_ceil(10);
-    let first_token = Left::Whole(PROFILE.first_token);
+    let first_token = RequestEnd::Complete(PROFILE.first_token);
     for _ in 0..if is_warm { 100 } else { 0 } {
-        if let Some(place) = admission.try_enter(1) {
-            admission.leave(place, first_token);
+        if let Some(place) = admission.try_acquire(1) {
+            admission.release(place, first_token);
         }
     }
     admission
--- a/core/src/claim.rs
+++ b/core/src/claim.rs
@@ -1,10 +1,12 @@
-//! At most once across resends: the claim that a non-idempotent request holds on its key.
+//! At-most-once execution of non-idempotent requests across client retries, by a claim on the
+//! idempotency key.
 //!
-//! The claim is one object on the platform, changed by conditional writes only. It names the agent
-//! life and the attempt that may run the request, so whoever finds it can ask that agent what
-//! became of it, or void it. A claim moves on to another attempt only after the one it names is
-//! proved not to run. [`ClaimRun`] is the whole procedure as a state machine: it says what to
-//! [`Do`] next, the caller does it and reports the [`Event`].
+//! A claim is one object on the platform, changed only by conditional writes. It names the agent
+//! incarnation and the attempt that may run the request, so another entry that reads it can ask
+//! that agent for the attempt's state, or void the attempt. A claim is reassigned to another
+//! attempt only after the named one is proved not to run. [`ClaimMachine`] is the protocol as a
+//! state machine: it returns the next [`Action`], and the caller performs it and reports the
+//! resulting [`Event`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,125 +23,132 @@
 use crate::ids::Revision;
 use crate::ids::ServiceName;
 use crate::platform::Expect;
+use crate::run::FullResponse;
 use crate::run::VoidReply;
-use crate::run::WholeAnswer;
 use crate::time::Time;
 
-/// Bytes of the longest idempotency key taken.
+/// Maximum length of an idempotency key in bytes.
 pub const MAX_KEY_LEN: usize = 256;
 
-/// Bytes of the largest answer kept in a claim; for a larger one the claim says that it ran.
-pub const MAX_ANSWER_LEN: usize = 256 << 10;
+/// Largest response body stored in a claim, in bytes. For a larger one the claim records only that
+/// the request ran.
+pub const MAX_STORED_RESPONSE_LEN: usize = 256 << 10;
 
-/// Pause before a failed call to the platform or a look at a running request is repeated.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a failed platform call or a query for a running request is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long the platform or the agent may stay out of reach before the caller is told so.
-pub const PATIENCE: Duration = Duration::from_secs(3);
+/// How long the platform or the agent may be unreachable before the request is refused.
+pub const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Looks for the owner's own note of an answer that the agent no longer keeps.
-const ANSWER_LOOKS: u32 = 3;
+/// How often a claim is read again for the response written by its owner, when the agent no longer
+/// holds the response.
+const MAX_RESPONSE_READS: u32 = 3;
 
-/// Key prefix of all claims.
+/// Object key prefix of all claims.
 pub const PREFIX: &str = "claim/";
 
-/// Hexadecimal digits that spread claims over prefixes, so that a sweep reads one at a time.
+/// Hexadecimal digits of the shard in an object key. Shards let a sweep list a part of the claims
+/// at a time.
 pub const SHARD_DIGITS: usize = 3;
 
-/// The platform's key of the claim on `key`, which is scoped to customer and service.
+/// The object key of the claim on `key`; the same key of another customer or service is a different
+/// claim.
 pub fn object_key(customer: &CustomerName, service: &ServiceName, key: &str) -> String {
     let scope = format!("{}\n{}\n{key}", customer.as_str(), service.as_str());
     let hex = Digest::of(scope.as_bytes()).to_hex();
     format!("{PREFIX}{}/{hex}", &hex[..SHARD_DIGITS])
 }
 
-/// The attempt a claim stands for.
+/// An attempt and the agent it is assigned to.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Dispatch {
-    /// The agent that may run it.
+    /// Host of the agent that may run the request.
     pub agent: HostName,
-    /// Where peers reach that agent.
+    /// Peer address of that agent.
     pub address: SocketAddr,
-    /// The life of the agent that may run it.
+    /// Incarnation of the agent; a later incarnation must not run the attempt.
     pub incarnation: Incarnation,
-    /// The attempt.
+    /// Id of the attempt, unique over all entries.
     pub request: RequestId,
 }
 
 /// How far the request is.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ClaimState {
-    /// This attempt may run, be running, or have run.
+    /// The attempt may be about to run, running or finished.
     Pending(Dispatch),
-    /// It ran, and this is its answer.
-    Done(WholeAnswer),
-    /// It ran, and its answer is too large to be kept.
-    DoneUnkept,
-    /// It may have run; nobody can tell any more.
+    /// The request ran and returned this response.
+    Done(FullResponse),
+    /// The request ran, but its response is larger than [`MAX_STORED_RESPONSE_LEN`] or was lost.
+    DoneNotStored,
+    /// The request may have run, and no process can determine it any more.
     Unknown,
-    /// Nothing ran, and the caller was told so. A later sending may claim it anew; one that was
-    /// under way at that time must not run, or it would make a lie of what was told.
+    /// Nothing ran, and the caller was told so. A later submission may claim the key again. A
+    /// submission that was in progress at that time must not run, as the outcome `not-run` would
+    /// become false.
     Released,
 }
 
-/// A claim as it lies on the platform.
+/// A claim as stored on the platform.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Claim {
-    /// Digest of the method, path and body it was made for.
+    /// Digest of the method, path and body of the claimed request, to detect reuse of the key for
+    /// another request.
     pub body: Digest,
     /// How far the request is.
     pub state: ClaimState,
-    /// The revision at which it was last given up, for sendings that were under way then.
+    /// Revision of the latest release, for submissions that were in progress then; `None` if never
+    /// released.
     pub released: Option<Revision>,
 }
 
 impl Claim {
-    /// The object's bytes.
+    /// Encodes the claim as the platform object's value.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("claims always encode")
     }
 
-    /// Reads an object's bytes.
+    /// Decodes a platform object's value; fails with [`Code::BadMessage`].
     pub fn decode(bytes: &[u8]) -> Result<Claim, Code> {
         postcard::from_bytes(bytes).map_err(|_| Code::BadMessage)
     }
 }
 
-/// What to do next.
+/// The next step that the caller of [`ClaimMachine`] performs.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Do {
+pub enum Action {
     /// Read the claim.
     Read,
-    /// Write the claim if the object is as expected.
+    /// Write the claim, on the condition that the object is in the expected state.
     Write(Claim, Expect),
-    /// Send the request to the agent that the claim names.
+    /// Send the request to the agent of the claimed attempt.
     Dispatch,
-    /// Ask this agent life what became of this attempt, voiding it if it has not started.
-    AskAgent(Dispatch),
-    /// Let this much time pass.
+    /// Ask the agent for the state of the attempt, voiding it if it has not started.
+    QueryAgent(Dispatch),
+    /// Wait for this duration.
     Wait(Duration),
-    /// Give the caller this answer.
-    Answer(WholeAnswer),
-    /// Refuse with this code.
+    /// Return this response to the caller.
+    Respond(FullResponse),
+    /// Refuse the request with this code.
     Refuse(Code),
 }
 
-/// What came of it.
+/// The result of an [`Action`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
     /// The write took effect.
     Written(Revision),
-    /// Somebody else changed the claim first.
+    /// The object was not in the expected state; nothing was written.
     Conflict,
-    /// The answer to the write was lost: it may have taken effect.
-    Lost,
-    /// The platform cannot be reached; nothing was written.
-    Down,
-    /// The claim as read; `None` when there is none.
+    /// The result of the write is unknown: it may have taken effect.
+    WriteUnknown,
+    /// The platform is unreachable; nothing was read or written.
+    Unavailable,
+    /// The claim and its revision; `None` when the object does not exist.
     Found(Option<(Revision, Claim)>),
-    /// What the agent says; `None` when it cannot be reached.
-    Agent(Option<VoidReply>),
-    /// The pause is over.
+    /// The agent's reply; `None` when it is unreachable.
+    AgentReply(Option<VoidReply>),
+    /// The requested wait has elapsed.
     Waited,
 }
 
@@ -147,293 +156,311 @@
 enum Phase {
     Reading,
     Writing(Expect),
-    /// The attempt named by the claim is the caller's own and may be sent.
+    /// The claim names this machine's attempt, which may be sent.
     Owned,
-    Asking(Revision, Dispatch),
+    Querying(Revision, Dispatch),
     Releasing(Revision),
-    /// What the caller is told is settled; the write is for later resends.
-    Settling(Claim, Do),
+    /// The result for the caller is final; the write stores it for later retries.
+    WritingFinal(Claim, Action),
 }
 
-/// One request's way through its claim.
+/// The claim protocol for one submission of a request.
 #[derive(Clone, Debug)]
-pub struct ClaimRun {
+pub struct ClaimMachine {
     body: Digest,
-    mine: Dispatch,
+    attempt: Dispatch,
     deadline: Time,
-    /// Rises with each sign of the platform or the agent.
-    give_up: Time,
+    /// Extended by [`UNREACHABLE_TIMEOUT`] with each sign of progress from the platform or the
+    /// agent.
+    unreachable_deadline: Time,
     phase: Phase,
     revision: Option<Revision>,
-    /// Why the claim is given up, once its attempt is proved not to run.
-    released: Option<Code>,
-    /// The claim was given up with nothing run.
+    /// The code to refuse with once the claim is released; set when its attempt is proved not to
+    /// run.
+    release_code: Option<Code>,
+    /// The claim was released with nothing run.
     not_run: bool,
-    /// The revision at which the claim was last given up.
-    last_released: Option<Revision>,
-    /// What the first read found: nothing, or a claim at this revision.
-    first_seen: Option<Option<Revision>>,
-    running: bool,
-    /// The attempt was handed to the transport; it is never handed over again.
-    sent: bool,
-    looks: u32,
+    /// Revision of the latest release of the claim.
+    last_release: Option<Revision>,
+    /// Result of the first read: the revision of the claim, or that there was none.
+    first_read: Option<Option<Revision>>,
+    is_running: bool,
+    /// The attempt was passed to the transport, which happens at most once.
+    is_sent: bool,
+    response_reads: u32,
 }
 
-impl ClaimRun {
-    /// Starts in the name of `mine`, with a read: it shows a resend its answer at once, and tells
-    /// what was there before this sending. A request that runs is waited for
-    /// until `deadline`; a platform or agent out of reach for [`PATIENCE`].
-    pub fn start(body: Digest, mine: Dispatch, deadline: Time, now: Time) -> (ClaimRun, Do) {
-        let run = ClaimRun {
+impl ClaimMachine {
+    /// Starts the protocol for `attempt` with a read: it finds the response stored for an earlier
+    /// submission, and records which revision existed before this one. A running request is awaited
+    /// until `deadline`; an unreachable platform or agent for [`UNREACHABLE_TIMEOUT`].
+    pub fn start(
+        body: Digest,
+        attempt: Dispatch,
+        deadline: Time,
+        now: Time,
+    ) -> (ClaimMachine, Action) {
+        let run = ClaimMachine {
             body,
-            mine,
+            attempt,
             deadline,
-            give_up: now + PATIENCE,
+            unreachable_deadline: now + UNREACHABLE_TIMEOUT,
             phase: Phase::Reading,
             revision: None,
-            released: None,
+            release_code: None,
             not_run: false,
-            last_released: None,
-            first_seen: None,
-            running: false,
-            sent: false,
-            looks: 0,
+            last_release: None,
+            first_read: None,
+            is_running: false,
+            is_sent: false,
+            response_reads: 0,
         };
-        (run, Do::Read)
+        (run, Action::Read)
     }
 
-    /// The attempt this run claims for.
-    pub fn mine(&self) -> &Dispatch {
-        &self.mine
+    /// The attempt that is claimed for, as last set by [`ClaimMachine::reassign`].
+    pub fn attempt(&self) -> &Dispatch {
+        &self.attempt
     }
 
     /// Whether it is proved that nothing ran under the key.
     ///
-    /// Only an attempt that held the claim until it gave it up proves that, to itself and to the
-    /// sendings under way beside it. Nothing else does: an earlier sending may have run.
+    /// Only an attempt that held the claim until it released it proves this, for itself and for the
+    /// submissions in progress at the time. Any other submission cannot tell whether an earlier one
+    /// ran.
     pub fn is_not_run(&self) -> bool {
         self.not_run
     }
 
-    /// The next thing to do.
-    pub fn step(&mut self, event: Event, now: Time) -> Do {
+    /// Processes the result of the last action and returns the next action.
+    pub fn step(&mut self, event: Event, now: Time) -> Action {
         if self.is_progress(&event) {
-            self.give_up = now + PATIENCE;
+            self.unreachable_deadline = now + UNREACHABLE_TIMEOUT;
         }
         match (self.phase.clone(), event) {
-            (Phase::Writing(_), Event::Written(revision)) => self.own(revision),
-            (Phase::Writing(_), Event::Down) => self.pause(now),
-            (Phase::Writing(expect), Event::Waited) => self.write_mine(expect),
+            (Phase::Writing(_), Event::Written(revision)) => self.dispatch_at(revision),
+            (Phase::Writing(_), Event::Unavailable) => self.wait_or_refuse(now),
+            (Phase::Writing(expect), Event::Waited) => self.write_pending(expect),
             (Phase::Writing(_), _) => self.read(),
-            (Phase::Reading, Event::Found(found)) => self.found(found),
-            (Phase::Reading, Event::Waited) => Do::Read,
-            (Phase::Reading, _) => self.pause(now),
-            (Phase::Asking(revision, dispatch), Event::Agent(reply)) => {
-                self.told(revision, dispatch, reply, now)
+            (Phase::Reading, Event::Found(found)) => self.on_claim_read(found),
+            (Phase::Reading, Event::Waited) => Action::Read,
+            (Phase::Reading, _) => self.wait_or_refuse(now),
+            (Phase::Querying(revision, dispatch), Event::AgentReply(reply)) => {
+                self.on_agent_reply(revision, dispatch, reply, now)
             }
-            (Phase::Asking(..), _) => self.read(),
+            (Phase::Querying(..), _) => self.read(),
             (Phase::Releasing(_), Event::Written(_)) => self.refuse_not_run(),
-            (Phase::Releasing(_), Event::Down) => self.pause(now),
+            (Phase::Releasing(_), Event::Unavailable) => self.wait_or_refuse(now),
             (Phase::Releasing(revision), Event::Waited) => self.write_released(revision),
             (Phase::Releasing(_), _) => self.read(),
-            (Phase::Settling(claim, then), event) => self.settle(claim, then, event, now),
-            (Phase::Owned, _) => Do::Dispatch,
+            (Phase::WritingFinal(claim, then), event) => {
+                self.on_final_write(claim, then, event, now)
+            }
+            (Phase::Owned, _) => Action::Dispatch,
         }
     }
 
-    /// Whether something new was learned. A claim that is read again and stands as it stood is
-    /// none: while its agent is out of reach, it would be read and asked for without an end.
+    /// Whether `event` is progress. An unchanged claim is not: while its agent is unreachable, the
+    /// loop of reading the claim and querying the agent would never end.
     fn is_progress(&self, event: &Event) -> bool {
         match event {
-            Event::Lost | Event::Down | Event::Waited | Event::Agent(None) => false,
+            Event::WriteUnknown | Event::Unavailable | Event::Waited | Event::AgentReply(None) => {
+                false
+            }
             Event::Found(Some((revision, _))) => self.revision != Some(*revision),
             _ => true,
         }
     }
 
-    /// The named attempt is proved not to run: claims for another one.
-    pub fn move_to(&mut self, mine: Dispatch) -> Do {
-        self.mine = mine;
-        self.sent = false;
-        self.released = None;
+    /// Reassigns the claim to `attempt`, after the attempt named so far is proved not to run.
+    pub fn reassign(&mut self, attempt: Dispatch) -> Action {
+        self.attempt = attempt;
+        self.is_sent = false;
+        self.release_code = None;
         match self.revision {
-            Some(revision) => self.write_mine(Expect::At(revision)),
+            Some(revision) => self.write_pending(Expect::At(revision)),
             None => self.read(),
         }
     }
 
-    /// The request ran; notes its answer for resends.
-    pub fn finish(&mut self, answer: WholeAnswer, now: Time) -> Do {
-        self.give_up = now + PATIENCE;
-        let state = if answer.body.len() > MAX_ANSWER_LEN {
-            ClaimState::DoneUnkept
+    /// Records the response of the request, for later submissions with the same key.
+    pub fn finish(&mut self, answer: FullResponse, now: Time) -> Action {
+        self.unreachable_deadline = now + UNREACHABLE_TIMEOUT;
+        let state = if answer.body.len() > MAX_STORED_RESPONSE_LEN {
+            ClaimState::DoneNotStored
         } else {
             ClaimState::Done(answer.clone())
         };
-        self.settle_as(state, Do::Answer(answer))
+        self.write_final(state, Action::Respond(answer))
     }
 
-    /// Contact with the named agent was lost after the request was sent: asks what became of it.
-    pub fn lost(&mut self, now: Time) -> Do {
-        self.give_up = now + PATIENCE;
-        self.sent = true;
+    /// Handles the loss of the agent after the request was sent: queries the state of the attempt.
+    pub fn contact_lost(&mut self, now: Time) -> Action {
+        self.unreachable_deadline = now + UNREACHABLE_TIMEOUT;
+        self.is_sent = true;
         match self.revision {
             Some(revision) => {
-                self.phase = Phase::Asking(revision, self.mine.clone());
-                Do::AskAgent(self.mine.clone())
+                self.phase = Phase::Querying(revision, self.attempt.clone());
+                Action::QueryAgent(self.attempt.clone())
             }
             None => self.read(),
         }
     }
 
-    /// The named attempt is proved not to run, and no other is made.
-    pub fn release(&mut self, code: Code) -> Do {
-        self.released = Some(code);
+    /// Releases the claim, after its attempt is proved not to run and no other is made. The caller
+    /// is refused with `code`.
+    pub fn release(&mut self, code: Code) -> Action {
+        self.release_code = Some(code);
         match self.revision {
             Some(revision) => self.write_released(revision),
             None => self.read(),
         }
     }
 
-    fn write_released(&mut self, revision: Revision) -> Do {
+    fn write_released(&mut self, revision: Revision) -> Action {
         self.phase = Phase::Releasing(revision);
         let claim = self.claim(ClaimState::Released);
-        Do::Write(claim, Expect::At(revision))
+        Action::Write(claim, Expect::At(revision))
     }
 
-    fn refuse_not_run(&mut self) -> Do {
+    fn refuse_not_run(&mut self) -> Action {
         self.not_run = true;
-        Do::Refuse(self.released.unwrap_or(Code::Voided))
+        Action::Refuse(self.release_code.unwrap_or(Code::Voided))
     }
 
-    fn own(&mut self, revision: Revision) -> Do {
+    fn dispatch_at(&mut self, revision: Revision) -> Action {
         self.revision = Some(revision);
         self.phase = Phase::Owned;
-        Do::Dispatch
+        Action::Dispatch
     }
 
-    fn write_mine(&mut self, expect: Expect) -> Do {
+    fn write_pending(&mut self, expect: Expect) -> Action {
         self.phase = Phase::Writing(expect);
-        Do::Write(self.claim(ClaimState::Pending(self.mine.clone())), expect)
+        Action::Write(self.claim(ClaimState::Pending(self.attempt.clone())), expect)
     }
 
     fn claim(&self, state: ClaimState) -> Claim {
-        Claim { body: self.body, state, released: self.last_released }
+        Claim { body: self.body, state, released: self.last_release }
     }
 
-    /// Whether the claim was given up after this sending first read it: it must not run then, as
-    /// some caller was told that nothing had run.
-    fn is_late(&self) -> bool {
-        match (self.last_released, self.first_seen) {
+    /// Whether the claim was released after this submission first read it. The submission must not
+    /// run then, as another caller was told that nothing had run.
+    fn is_released_since_first_read(&self) -> bool {
+        match (self.last_release, self.first_read) {
             (Some(released), Some(first)) => first.is_none_or(|first| first < released),
             _ => false,
         }
     }
 
-    fn read(&mut self) -> Do {
+    fn read(&mut self) -> Action {
         self.phase = Phase::Reading;
-        Do::Read
+        Action::Read
     }
 
-    fn pause(&self, now: Time) -> Do {
-        if now < if self.running { self.deadline } else { self.give_up } {
-            return Do::Wait(PAUSE);
+    fn wait_or_refuse(&self, now: Time) -> Action {
+        if now < if self.is_running { self.deadline } else { self.unreachable_deadline } {
+            return Action::Wait(RETRY_DELAY);
         }
-        let code = if self.running { Code::KeyInProgress } else { Code::ClaimUnavailable };
-        Do::Refuse(code)
+        let code = if self.is_running { Code::KeyInProgress } else { Code::ClaimUnavailable };
+        Action::Refuse(code)
     }
 
-    fn found(&mut self, found: Option<(Revision, Claim)>) -> Do {
+    fn on_claim_read(&mut self, found: Option<(Revision, Claim)>) -> Action {
         let seen = found.as_ref().map(|(revision, _)| *revision);
-        self.first_seen.get_or_insert(seen);
+        self.first_read.get_or_insert(seen);
         let Some((revision, claim)) = found else {
-            return match self.released {
+            return match self.release_code {
                 Some(_) => self.refuse_not_run(),
-                None => self.write_mine(Expect::Absent),
+                None => self.write_pending(Expect::Absent),
             };
         };
         if claim.body != self.body {
-            return Do::Refuse(Code::KeyReused);
+            return Action::Refuse(Code::KeyReused);
         }
         self.revision = Some(revision);
-        self.last_released = match claim.state {
+        self.last_release = match claim.state {
             ClaimState::Released => Some(revision),
             _ => claim.released,
         };
         match claim.state {
-            ClaimState::Pending(dispatch) if dispatch == self.mine && self.released.is_some() => {
+            ClaimState::Pending(dispatch)
+                if dispatch == self.attempt && self.release_code.is_some() =>
+            {
                 self.write_released(revision)
             }
-            ClaimState::Pending(dispatch) if dispatch == self.mine && !self.sent => {
-                self.own(revision)
+            ClaimState::Pending(dispatch) if dispatch == self.attempt && !self.is_sent => {
+                self.dispatch_at(revision)
             }
             ClaimState::Pending(dispatch) => {
-                self.released = None;
-                self.phase = Phase::Asking(revision, dispatch.clone());
-                Do::AskAgent(dispatch)
+                self.release_code = None;
+                self.phase = Phase::Querying(revision, dispatch.clone());
+                Action::QueryAgent(dispatch)
             }
-            ClaimState::Done(answer) => Do::Answer(answer),
-            ClaimState::DoneUnkept => Do::Refuse(Code::AnswerNotKept),
-            ClaimState::Unknown => Do::Refuse(Code::KeyUnknown),
-            ClaimState::Released if self.is_late() => self.refuse_not_run(),
-            ClaimState::Released => self.write_mine(Expect::At(revision)),
+            ClaimState::Done(answer) => Action::Respond(answer),
+            ClaimState::DoneNotStored => Action::Refuse(Code::AnswerNotKept),
+            ClaimState::Unknown => Action::Refuse(Code::KeyUnknown),
+            ClaimState::Released if self.is_released_since_first_read() => self.refuse_not_run(),
+            ClaimState::Released => self.write_pending(Expect::At(revision)),
         }
     }
 
-    fn told(
+    fn on_agent_reply(
         &mut self,
         revision: Revision,
         dispatch: Dispatch,
         reply: Option<VoidReply>,
         now: Time,
-    ) -> Do {
-        self.running = reply == Some(VoidReply::Running);
+    ) -> Action {
+        self.is_running = reply == Some(VoidReply::Running);
         match reply {
-            Some(VoidReply::Voided) if dispatch.request == self.mine.request => {
-                Do::Refuse(Code::Voided)
+            Some(VoidReply::Voided) if dispatch.request == self.attempt.request => {
+                Action::Refuse(Code::Voided)
+            }
+            Some(VoidReply::Voided) if self.is_released_since_first_read() => {
+                Action::Refuse(Code::KeyInProgress)
             }
-            Some(VoidReply::Voided) if self.is_late() => Do::Refuse(Code::KeyInProgress),
-            Some(VoidReply::Voided) => self.write_mine(Expect::At(revision)),
+            Some(VoidReply::Voided) => self.write_pending(Expect::At(revision)),
             Some(VoidReply::Ran(Some(answer))) => self.finish(answer, now),
-            Some(VoidReply::Ran(None)) if self.looks >= ANSWER_LOOKS => {
-                self.settle_as(ClaimState::DoneUnkept, Do::Refuse(Code::AnswerNotKept))
+            Some(VoidReply::Ran(None)) if self.response_reads >= MAX_RESPONSE_READS => {
+                self.write_final(ClaimState::DoneNotStored, Action::Refuse(Code::AnswerNotKept))
             }
             Some(VoidReply::Ran(None)) => {
-                self.looks += 1;
+                self.response_reads += 1;
                 self.phase = Phase::Reading;
-                Do::Wait(PAUSE)
+                Action::Wait(RETRY_DELAY)
             }
             Some(VoidReply::Unknown) => {
-                self.settle_as(ClaimState::Unknown, Do::Refuse(Code::KeyUnknown))
+                self.write_final(ClaimState::Unknown, Action::Refuse(Code::KeyUnknown))
             }
-            // An agent out of reach may run it yet: the claim stays as it is.
-            None if now >= self.give_up => Do::Refuse(Code::KeyUnknown),
+            // An unreachable agent may still run the attempt, so the claim stays unchanged.
+            None if now >= self.unreachable_deadline => Action::Refuse(Code::KeyUnknown),
             Some(VoidReply::Running) | None => {
                 self.phase = Phase::Reading;
-                self.pause(now)
+                self.wait_or_refuse(now)
             }
         }
     }
 
-    fn settle_as(&mut self, state: ClaimState, then: Do) -> Do {
+    fn write_final(&mut self, state: ClaimState, then: Action) -> Action {
         let claim = self.claim(state);
         let Some(revision) = self.revision else {
             return then;
         };
-        self.phase = Phase::Settling(claim.clone(), then);
-        Do::Write(claim, Expect::At(revision))
+        self.phase = Phase::WritingFinal(claim.clone(), then);
+        Action::Write(claim, Expect::At(revision))
     }
 
-    /// A write that fails here costs a later resend a question to the agent, never a second run.
-    fn settle(&mut self, claim: Claim, then: Do, event: Event, now: Time) -> Do {
+    /// If this write fails, a later submission has to query the agent; the request never runs
+    /// twice.
+    fn on_final_write(&mut self, claim: Claim, then: Action, event: Event, now: Time) -> Action {
         match event {
-            Event::Down if now < self.give_up => Do::Wait(PAUSE),
+            Event::Unavailable if now < self.unreachable_deadline => Action::Wait(RETRY_DELAY),
             Event::Waited => match self.revision {
-                Some(revision) => Do::Write(claim, Expect::At(revision)),
+                Some(revision) => Action::Write(claim, Expect::At(revision)),
                 None => then,
             },
-            // Another sending may have settled it with the answer that this one lacks.
-            Event::Conflict if matches!(then, Do::Refuse(_)) => self.read(),
+            // Another submission may have stored the response that this one lacks.
+            Event::Conflict if matches!(then, Action::Refuse(_)) => self.read(),
             _ => then,
         }
     }
--- a/core/src/gate.rs
+++ b/core/src/gate.rs
@@ -1,9 +1,9 @@
-//! The agent's gate: whether its endpoint may answer, and whether an answer is from the right
-//! weights.
+//! The agent's version gate: checks that its endpoint serves what a request needs, and that the
+//! response came from there.
 //!
-//! Between the gate's check and the endpoint's first byte the engine may restart or switch. One
-//! would notice by an answer from other weights than asked for, or from none. So a pass names the
-//! engine's life and version, and the answer's head must carry the same.
+//! The engine may restart or switch versions between the check and the first byte of the response,
+//! which would then come from other weights. So the check returns the start id and version of the
+//! engine, and the response headers must carry the same.
 
 use crate::code::Code;
 use crate::ids::Digest;
@@ -14,43 +14,50 @@
 /// Result of a check.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// What a request was let in for.
+/// The endpoint process and model version that a response must come from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Pass {
+pub struct ExpectedSource {
     start: StartId,
     version: Option<Digest>,
 }
 
-/// Lets a request in if the endpoint last reported exactly what the request names: `version` for a
-/// model, `service` for a plain service.
-pub fn enter(serving: &Serving, service: &ServiceName, version: Option<Digest>) -> Result<Pass> {
+/// Checks that the endpoint last reported exactly what a request names: `version` for a model,
+/// `service` for a plain service. Fails with [`Code::WrongVersion`] or [`Code::EndpointClosed`].
+pub fn check_serving(
+    serving: &Serving,
+    service: &ServiceName,
+    version: Option<Digest>,
+) -> Result<ExpectedSource> {
     match (serving, version) {
-        (Serving::Model { version: loaded, start, .. }, Some(wanted)) if *loaded == wanted => {
-            Ok(Pass { start: *start, version })
+        (Serving::Model { version: loaded, start, .. }, Some(requested))
+            if *loaded == requested =>
+        {
+            Ok(ExpectedSource { start: *start, version })
         }
         (Serving::Model { .. }, _) => Err(Code::WrongVersion),
-        (Serving::Plain { service: here, start }, None) if here == service => {
-            Ok(Pass { start: *start, version: None })
+        (Serving::Plain { service: served, start }, None) if served == service => {
+            Ok(ExpectedSource { start: *start, version: None })
         }
         _ => Err(Code::EndpointClosed),
     }
 }
 
-impl Pass {
-    /// A pass for what the life `start` of the endpoint has loaded.
-    pub fn new(start: StartId, version: Option<Digest>) -> Pass {
-        Pass { start, version }
+impl ExpectedSource {
+    /// Expects a response from `version` on the endpoint process with the start id `start`.
+    pub fn new(start: StartId, version: Option<Digest>) -> ExpectedSource {
+        ExpectedSource { start, version }
     }
 
-    /// The endpoint's life that was let in for.
+    /// Start id of the expected endpoint process.
     pub fn start(&self) -> StartId {
         self.start
     }
 
-    /// Compares the head of an answer with what was let in for. A model's answer that does not say
-    /// where it is from is not passed on either.
-    pub fn check(&self, start: Option<StartId>, version: Option<Digest>) -> Result<()> {
-        let same = self.version.is_none() || (version == self.version && start == Some(self.start));
-        if same { Ok(()) } else { Err(Code::EndpointLost) }
+    /// Checks the source of a response against the expected one. A model response without a source
+    /// fails as well, with [`Code::EndpointLost`].
+    pub fn check_response(&self, start: Option<StartId>, version: Option<Digest>) -> Result<()> {
+        let is_same =
+            self.version.is_none() || (version == self.version && start == Some(self.start));
+        if is_same { Ok(()) } else { Err(Code::EndpointLost) }
     }
 }
--- a/core/src/ids.rs
+++ b/core/src/ids.rs
@@ -126,7 +126,7 @@
 /// Identifies one attempt at a request within the fleet.
 ///
 /// The upper half names the life of the entry that sends it, the lower half rises with each
-/// attempt of that life; [`crate::record`] says what rests on that.
+/// attempt of that life; [`crate::attempts`] says what rests on that.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -12,6 +12,7 @@
 
 pub mod admission;
 pub mod arena;
+pub mod attempts;
 pub mod check;
 pub mod claim;
 pub mod code;
@@ -32,7 +33,6 @@
 pub mod platform;
 pub mod quarantine;
 pub mod queue;
-pub mod record;
 pub mod relay;
 pub mod reserve;
 pub mod retry;
--- a/core/src/quarantine.rs
+++ b/core/src/quarantine.rs
@@ -1,9 +1,11 @@
-//! Requests that crash each endpoint that runs them, and whose callers send them again.
+//! Quarantine of requests that crash every endpoint that runs them and are retried by their
+//! callers.
 //!
-//! A request is known by the digest of its body. Whoever was running when an endpoint crashed is a
-//! suspect, and suspects run alone from then on: one that comes through is cleared, one that
-//! crashes an endpoint again, and now alone, is quarantined. So an endless chain of crashes ends at
-//! the second one of the culprit, and no innocent request that ran beside it is refused.
+//! A request is identified by the digest of its body. Every request in progress when an endpoint
+//! crashes becomes a suspect, and suspects run exclusively from then on. A suspect that completes
+//! is cleared; one that crashes an endpoint again, now exclusively, is quarantined. So a chain of
+//! crashes ends at the second crash of the culprit, and requests that only ran at the same time are
+//! never refused.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,87 +16,87 @@
 use crate::ids::Digest;
 use crate::time::Time;
 
-/// Crashes of one request, one of them alone, that quarantine it.
-const MAX_CRASHES: u32 = 2;
+/// Number of crashes, at least one of them exclusive, that quarantine a request.
+const QUARANTINE_CRASHES: u32 = 2;
 
-/// Suspects remembered at most; the oldest make room.
+/// Maximum number of suspects; the oldest is evicted.
 const MAX_SUSPECTS: usize = 4_096;
 
-/// How long a suspicion lasts that nothing adds to.
-const SUSPECT_FOR: Duration = Duration::from_secs(600);
+/// How long a request stays a suspect after its last crash.
+const SUSPICION_TTL: Duration = Duration::from_secs(600);
 
-/// A crash, as entries tell each other.
+/// Report of a crash, sent between entries.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Crash {
-    /// Digest of the request that was running.
+    /// Digest of a request that was in progress.
     pub request: Digest,
-    /// How many others were running beside it.
-    pub beside: u32,
+    /// Number of other requests in progress on the endpoint.
+    pub concurrent: u32,
 }
 
-/// How a request may run.
+/// Restriction on how a request may run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
-    /// Beside others.
-    Free,
-    /// Only while its endpoint runs nothing else.
-    Alone,
-    /// Not at all for now.
+pub enum RunPolicy {
+    /// Together with other requests.
+    Shared,
+    /// Only on an endpoint that runs no other request.
+    Exclusive,
+    /// Not at all until the quarantine ends.
     Refused,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Suspect {
     crashes: u32,
-    alone: u32,
-    seen: Time,
+    exclusive_crashes: u32,
+    last_crash: Time,
 }
 
-/// The suspects that one entry knows.
+/// The suspects known to one entry.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     by_request: HashMap<Digest, Suspect>,
 }
 
 impl Quarantine {
-    /// Whether nobody is suspected, which spares the caller to compute a digest.
+    /// Whether there are no suspects; the caller can skip computing a digest then.
     pub fn is_empty(&self) -> bool {
         self.by_request.is_empty()
     }
 
-    /// How `request` may run, when quarantine lasts for `span`.
-    pub fn verdict(&self, request: Digest, span: Duration, now: Time) -> Verdict {
+    /// Returns how `request` may run; the quarantine ends `duration` after the last crash.
+    pub fn policy(&self, request: Digest, duration: Duration, now: Time) -> RunPolicy {
         let Some(suspect) = self.by_request.get(&request) else {
-            return Verdict::Free;
+            return RunPolicy::Shared;
         };
-        let is_guilty = suspect.crashes >= MAX_CRASHES && suspect.alone > 0;
-        match is_guilty {
-            true if !now.passed(suspect.seen, span) => Verdict::Refused,
-            false if now.passed(suspect.seen, SUSPECT_FOR) => Verdict::Free,
-            _ => Verdict::Alone,
+        let is_culprit = suspect.crashes >= QUARANTINE_CRASHES && suspect.exclusive_crashes > 0;
+        match is_culprit {
+            true if !now.passed(suspect.last_crash, duration) => RunPolicy::Refused,
+            false if now.passed(suspect.last_crash, SUSPICION_TTL) => RunPolicy::Shared,
+            _ => RunPolicy::Exclusive,
         }
     }
 
-    /// Notes a crash. O(1), and O(suspects) when full.
-    pub fn crashed(&mut self, crash: Crash, now: Time) {
+    /// Records a crash. O(1), or O(suspects) when full.
+    pub fn record_crash(&mut self, crash: Crash, now: Time) {
         if self.by_request.len() >= MAX_SUSPECTS {
-            let oldest = self.by_request.iter().min_by_key(|(_, suspect)| suspect.seen);
+            let oldest = self.by_request.iter().min_by_key(|(_, suspect)| suspect.last_crash);
             if let Some(oldest) = oldest.map(|(request, _)| *request) {
                 self.by_request.remove(&oldest);
             }
         }
         let suspect = self.by_request.entry(crash.request).or_insert(Suspect {
             crashes: 0,
-            alone: 0,
-            seen: now,
+            exclusive_crashes: 0,
+            last_crash: now,
         });
         suspect.crashes += 1;
-        suspect.alone += u32::from(crash.beside == 0);
-        suspect.seen = now;
+        suspect.exclusive_crashes += u32::from(crash.concurrent == 0);
+        suspect.last_crash = now;
     }
 
-    /// A suspect came through alone: it is cleared.
-    pub fn came_through(&mut self, request: Digest) {
+    /// Clears a suspect that completed exclusively.
+    pub fn clear(&mut self, request: Digest) {
         self.by_request.remove(&request);
     }
 }
--- a/core/src/relay.rs
+++ b/core/src/relay.rs
@@ -1,4 +1,5 @@
-//! Passing a call to the platform on through another entry.
+//! Relaying of a platform call through another entry, for an entry that cannot reach the platform
+//! itself.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -7,33 +8,33 @@
 
 use crate::ids::Revision;
 
-/// A call to pass on.
+/// A platform call to relay.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum RelayAsk {
-    /// Read an object.
+pub enum RelayRequest {
+    /// Read the object with this key.
     Get(SmolStr),
-    /// Write an object if it is as expected; `None` expects none.
+    /// Conditionally write an object.
     Put {
-        /// Its key.
+        /// Key of the object.
         key: SmolStr,
-        /// Its value.
+        /// New value of the object.
         value: Bytes,
-        /// The revision it must have, `None` when it must not exist.
+        /// Revision that the object must have; `None` if it must not exist.
         expect: Option<Revision>,
     },
 }
 
-/// What the platform answered.
+/// Result of a relayed call.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum RelayReply {
-    /// The object read, or that there is none.
+    /// The revision and value of the object; `None` when it does not exist.
     Object(Option<(Revision, Bytes)>),
-    /// The revision written.
+    /// The write took effect at this revision.
     Written(Revision),
-    /// Somebody else changed it first.
+    /// The object was not in the expected state; nothing was written.
     Conflict,
-    /// The platform refused or cannot be reached; nothing was written.
-    Down,
-    /// The platform's answer was lost.
+    /// The platform refused the call or is unreachable; nothing was written.
+    Unavailable,
+    /// The result was lost; a write may have taken effect.
     Unknown,
 }
--- a/core/src/run.rs
+++ b/core/src/run.rs
@@ -1,4 +1,4 @@
-//! What an entry and an agent say to each other about one request.
+//! Messages between an entry and an agent about one request.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -14,142 +14,146 @@
 use crate::ids::ServiceName;
 use crate::ids::StartId;
 
-/// Asks an agent to run a request on its endpoint.
+/// Runs a request on the endpoint of the receiving agent.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct RunAsk {
-    /// The request.
+pub struct RunRequest {
+    /// Id of the request, unique per attempt.
     pub request: RequestId,
-    /// Which attempt of it this is.
+    /// Number of the attempt, repeated in each frame of its response.
     pub attempt: Attempt,
-    /// The service it is for.
+    /// The service to run it on; must match the endpoint.
     pub service: ServiceName,
-    /// Who sent it.
+    /// The customer that sent the request.
     pub customer: CustomerName,
-    /// Digest of the manifest that must answer; `None` for plain services.
+    /// Manifest digest of the model version that must serve the request; `None` for plain services.
     pub version: Option<Digest>,
-    /// The agent's life that must run it, when a claim names one; another life refuses.
+    /// The agent incarnation that must run it, if a claim names one; any other incarnation refuses.
     pub incarnation: Option<Incarnation>,
-    /// Work it costs: uncached prompt tokens and expected output tokens; 1 for plain calls.
+    /// Cost in work units: uncached prompt tokens plus expected output tokens; 1 for plain
+    /// services.
     pub work: u32,
-    /// 0 (lowest) to 9.
+    /// Priority from 0 (lowest) to 9.
     pub priority: u8,
-    /// Milliseconds left until the deadline when this message was sent.
+    /// Milliseconds until the deadline, counted from when this message was sent.
     pub deadline_ms: u64,
-    /// Whether the caller's call may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether it must run alone, because it is suspected of crashing endpoints.
-    pub alone: bool,
-    /// Whether the agent keeps the whole answer for a while, for resends under the same key.
-    pub keep: bool,
-    /// Tokens of the answer that the caller already has; the engine resumes after them.
+    /// Whether it must run with no other request on the endpoint, because it is suspected of
+    /// crashing endpoints.
+    pub exclusive: bool,
+    /// Whether the agent keeps the full response for a while, for retries with the same idempotency
+    /// key.
+    pub keep_response: bool,
+    /// Number of response tokens that the caller already has; the engine resumes after them.
     pub resume_after: u64,
     /// HTTP method.
     pub method: SmolStr,
     /// Path and query.
     pub path: SmolStr,
-    /// Content type of the body.
+    /// Value of the `content-type` header.
     pub content_type: SmolStr,
-    /// The body.
+    /// Request body, as the caller sent it.
     pub body: Bytes,
 }
 
-/// How loaded an agent's endpoint is; goes along with answers and heartbeats.
+/// Load of an agent's endpoint, sent with responses and heartbeats.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Load {
     /// Work units in progress.
     pub work: u32,
-    /// Requests the agent admits at present.
+    /// Number of requests that the agent currently admits.
     pub limit: u32,
     /// Requests in progress.
     pub requests: u32,
 }
 
-/// Part of an answer.
+/// A frame of a response.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum RunFrame {
-    /// Nothing ran and nothing will under this attempt.
+    /// The attempt did not run and never will.
     Refused {
-        /// Why.
+        /// The reason.
         code: Code,
-        /// The endpoint's load, so that the entry learns from a refusal.
+        /// Load of the endpoint, so that the entry can adjust its routing.
         load: Load,
     },
-    /// The request is about to be handed to the endpoint.
+    /// The request is about to be sent to the endpoint.
     Started {
-        /// The endpoint's life it goes to.
+        /// Start id of the endpoint process that it is sent to.
         start: StartId,
     },
-    /// Status and content type of the answer.
+    /// Status and content type of the response.
     Head {
-        /// The attempt this belongs to; others are dropped.
+        /// The attempt of the frame; frames of other attempts are dropped.
         attempt: Attempt,
         /// HTTP status.
         status: u16,
-        /// Content type.
+        /// Value of the `content-type` header.
         content_type: SmolStr,
-        /// The manifest that answers, checked by the agent; `None` for plain services.
+        /// Manifest digest of the serving model version, as checked by the agent; `None` for plain
+        /// services.
         version: Option<Digest>,
     },
-    /// Some bytes of the answer.
+    /// Bytes of the response body.
     Data {
-        /// The attempt this belongs to; others are dropped.
+        /// The attempt of the frame; frames of other attempts are dropped.
         attempt: Attempt,
-        /// Counts frames from 0 without a gap.
+        /// Number of the frame, counted from 0 without gaps.
         sequence: u32,
-        /// The bytes.
+        /// Part of the body, in order.
         bytes: Bytes,
     },
-    /// The answer is whole.
+    /// The response is complete.
     End {
-        /// The attempt this belongs to.
+        /// The attempt of the frame.
         attempt: Attempt,
-        /// Number of data frames.
+        /// Number of data frames sent.
         frames: u32,
-        /// The endpoint's load afterwards.
+        /// Load of the endpoint after the request.
         load: Load,
     },
-    /// The answer is not whole.
+    /// The response ended early.
     Failed {
-        /// The attempt this belongs to.
+        /// The attempt of the frame.
         attempt: Attempt,
-        /// What is known of it.
+        /// The cause, which also tells whether the request ran.
         code: Code,
-        /// Whether the endpoint's process ended while this ran.
+        /// Whether the endpoint process ended during the request.
         crashed: bool,
-        /// How many requests ran beside it when the endpoint ended.
-        beside: u32,
+        /// Number of other requests on the endpoint when its process ended.
+        concurrent: u32,
     },
 }
 
-/// Asks an agent what became of a request; if it has not started, it never will.
+/// Queries the state of an attempt. An attempt that has not started is voided: it never will.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct VoidAsk {
-    /// The request.
+pub struct VoidRequest {
+    /// Id of the attempt to query.
     pub request: RequestId,
-    /// The life of the agent that the request was sent to.
+    /// The agent incarnation that the attempt was sent to.
     pub incarnation: Incarnation,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct WholeAnswer {
+pub struct FullResponse {
     /// HTTP status.
     pub status: u16,
-    /// Content type.
+    /// Value of the `content-type` header.
     pub content_type: SmolStr,
-    /// The body.
+    /// Response body.
     pub body: Bytes,
 }
 
-/// What became of a request.
+/// State of an attempt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum VoidReply {
-    /// It ran to its end; the whole answer, where it was kept.
-    Ran(Option<WholeAnswer>),
+    /// It ran to completion, with the full response if the agent still has it.
+    Ran(Option<FullResponse>),
     /// It is running.
     Running,
-    /// It had not started, and never will in this life.
+    /// It had not started, and never will in this incarnation of the agent.
     Voided,
-    /// This life of the agent cannot tell.
+    /// This incarnation of the agent cannot determine it.
     Unknown,
 }
--- a/core/src/stream.rs
+++ b/core/src/stream.rs
@@ -1,4 +1,5 @@
-//! Answers in frames: order, whole events, and the place at which a broken stream resumes.
+//! Response streams: the order of frames, complete events, and the token count at which a broken
+//! stream resumes.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -7,85 +8,86 @@
 use crate::ids::Attempt;
 use crate::run::RunFrame;
 
-/// Bytes of one event at most; a longer one breaks the stream off.
+/// Maximum size of an event in bytes; a larger one fails the stream.
 pub const MAX_EVENT_LEN: usize = 1 << 20;
 
-/// The blank line after an event of a `text/event-stream`.
-const EVENT_END: &[u8] = b"\n\n";
+/// The blank line that ends an event of a `text/event-stream`.
+const EVENT_DELIMITER: &[u8] = b"\n\n";
 
-/// The event after the last token.
-const DONE: &[u8] = b"data: [DONE]";
+/// The event that follows the last token.
+const DONE_EVENT: &[u8] = b"data: [DONE]";
 
-/// Result of taking a frame.
+/// Result of processing a frame or a part of a stream.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// What a frame of the expected attempt means.
+/// Content of an accepted frame.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Taken {
-    /// The next bytes.
+pub enum FrameContent {
+    /// The next bytes of the body.
     Bytes(Bytes),
-    /// The answer is whole.
+    /// The response is complete.
     End,
-    /// A frame of another attempt, or one that came twice: dropped.
+    /// A duplicate, or a frame of another attempt; ignored.
     Dropped,
 }
 
-/// Checks that the frames of one attempt come whole and in order.
+/// Checks that the frames of one attempt are complete and in order.
 #[derive(Clone, Copy, Debug)]
-pub struct FrameOrder {
+pub struct FrameSequencer {
     attempt: Attempt,
     next: u32,
 }
 
-impl FrameOrder {
-    /// The order of the frames of `attempt`.
-    pub fn new(attempt: Attempt) -> FrameOrder {
-        FrameOrder { attempt, next: 0 }
+impl FrameSequencer {
+    /// Expects the frames of `attempt`, from number 0.
+    pub fn new(attempt: Attempt) -> FrameSequencer {
+        FrameSequencer { attempt, next: 0 }
     }
 
-    /// Takes one frame. A gap, a failure or a wrong count at the end is an error: without it an
-    /// answer that lost its middle would look whole.
-    pub fn take(&mut self, frame: RunFrame) -> Result<Taken> {
+    /// Processes a frame. A gap or a wrong frame count at the end fails with [`Code::Truncated`],
+    /// as a response without its middle would look complete; a failure frame fails with its code.
+    pub fn accept(&mut self, frame: RunFrame) -> Result<FrameContent> {
         match frame {
             RunFrame::Data { attempt, sequence, bytes } => {
                 if attempt != self.attempt || sequence < self.next {
-                    return Ok(Taken::Dropped);
+                    return Ok(FrameContent::Dropped);
                 }
                 if sequence > self.next {
                     return Err(Code::Truncated);
                 }
                 self.next += 1;
-                Ok(Taken::Bytes(bytes))
+                Ok(FrameContent::Bytes(bytes))
             }
             RunFrame::End { attempt, frames, .. } if attempt == self.attempt => {
-                if frames == self.next { Ok(Taken::End) } else { Err(Code::Truncated) }
+                if frames == self.next { Ok(FrameContent::End) } else { Err(Code::Truncated) }
             }
             RunFrame::Failed { attempt, code, .. } if attempt == self.attempt => Err(code),
             RunFrame::Refused { code, .. } => Err(code),
-            _ => Ok(Taken::Dropped),
+            _ => Ok(FrameContent::Dropped),
         }
     }
 }
 
-/// Cuts a `text/event-stream` into whole events and counts the tokens passed on.
+/// Splits a `text/event-stream` into events and counts their tokens.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     buf: BytesMut,
     tokens: u64,
     done: bool,
 }
 
-impl EventCutter {
-    /// Adds bytes and gives the whole events they complete, `None` when there is none yet.
+impl EventSplitter {
+    /// Adds bytes and returns the events they complete; `None` if they complete none. An event
+    /// larger than [`MAX_EVENT_LEN`] fails with [`Code::Truncated`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>> {
-        let from = self.buf.len().saturating_sub(EVENT_END.len() - 1);
+        let from = self.buf.len().saturating_sub(EVENT_DELIMITER.len() - 1);
         self.buf.extend_from_slice(bytes);
-        let Some(end) = find_last(&self.buf[from..], EVENT_END) else {
+        let Some(end) = rfind(&self.buf[from..], EVENT_DELIMITER) else {
             return if self.buf.len() > MAX_EVENT_LEN { Err(Code::Truncated) } else { Ok(None) };
         };
-        let events = self.buf.split_to(from + end + EVENT_END.len()).freeze();
+        let events = self.buf.split_to(from + end + EVENT_DELIMITER.len()).freeze();
         for line in events.split(|byte| *byte == b'\n') {
-            if line.starts_with(DONE) {
+            if line.starts_with(DONE_EVENT) {
                 self.done = true;
             } else if line.starts_with(b"data:") {
                 self.tokens += 1;
@@ -94,22 +96,22 @@
         Ok(Some(events))
     }
 
-    /// Tokens in the events given so far; a resumed answer starts after them.
+    /// Number of tokens in the returned events; a resumed response starts after them.
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Whether the last event has passed and nothing follows it.
-    pub fn is_whole(&self) -> bool {
+    /// Whether the done event was returned and no bytes follow it.
+    pub fn is_complete(&self) -> bool {
         self.done && self.buf.is_empty()
     }
 
-    /// Drops the started event of a broken attempt; the next attempt sends it again.
-    pub fn restart_event(&mut self) {
+    /// Discards the incomplete event of a failed attempt; the next attempt sends it again.
+    pub fn discard_partial_event(&mut self) {
         self.buf.clear();
     }
 }
 
-fn find_last(bytes: &[u8], wanted: &[u8]) -> Option<usize> {
-    bytes.windows(wanted.len()).rposition(|window| window == wanted)
+fn rfind(bytes: &[u8], needle: &[u8]) -> Option<usize> {
+    bytes.windows(needle.len()).rposition(|window| window == needle)
 }
--- a/core/src/wire.rs
+++ b/core/src/wire.rs
@@ -14,12 +14,12 @@
 use crate::members::MembersAsk;
 use crate::members::MembersReply;
 use crate::quarantine::Crash;
-use crate::relay::RelayAsk;
 use crate::relay::RelayReply;
-use crate::run::RunAsk;
+use crate::relay::RelayRequest;
 use crate::run::RunFrame;
-use crate::run::VoidAsk;
+use crate::run::RunRequest;
 use crate::run::VoidReply;
+use crate::run::VoidRequest;
 use crate::spread::SpreadAsk;
 use crate::spread::SpreadReply;
 use crate::weights::WeightsAsk;
@@ -58,9 +58,9 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum AskBody {
     /// An entry asks an agent to run a request.
-    Run(RunAsk),
+    Run(RunRequest),
     /// An entry asks an agent what became of a request, or to keep it from starting.
-    Void(VoidAsk),
+    Void(VoidRequest),
     /// A process asks an agent for weights or for what it has.
     Weights(WeightsAsk),
     /// Heartbeats, probes and membership deltas.
@@ -68,7 +68,7 @@
     /// A process asks for configuration, or pushes it.
     Spread(SpreadAsk),
     /// An entry that cannot reach the platform asks another to pass a call on.
-    Relay(RelayAsk),
+    Relay(RelayRequest),
     /// An entry tells another that a request was running when its endpoint crashed.
     Suspect(Crash),
 }
--- a/core/tests/proof/claims.rs
+++ b/core/tests/proof/claims.rs
@@ -3,11 +3,11 @@
 use mastichaven_core::Code;
 use mastichaven_core::Outcome;
 use mastichaven_core::Time;
-use mastichaven_core::claim::ClaimRun;
+use mastichaven_core::claim::Action;
+use mastichaven_core::claim::ClaimMachine;
 use mastichaven_core::claim::Dispatch;
-use mastichaven_core::claim::Do;
 use mastichaven_core::claim::Event;
-use mastichaven_core::claim::PATIENCE;
+use mastichaven_core::claim::UNREACHABLE_TIMEOUT;
 use mastichaven_core::ids::Digest;
 use mastichaven_core::ids::Incarnation;
 use mastichaven_core::ids::RequestId;
@@ -15,10 +15,10 @@
 
 const DEADLINE: Time = Time::from_millis(1_500);
 
-/// What each call to platform or agent takes.
-const CALL: Duration = Duration::from_millis(2);
+/// Duration of each call to the platform or an agent.
+const CALL_DURATION: Duration = Duration::from_millis(2);
 
-/// Steps after which a run counts as endless; hours of its time.
+/// Steps after which a run counts as endless; equivalent to hours of simulated time.
 const MAX_STEPS: usize = 1_000_000;
 
 fn dispatch() -> Dispatch {
@@ -30,40 +30,40 @@
     }
 }
 
-/// Runs a claim whose agent died with the request while the platform is well, and gives the code
-/// and the time of the final answer.
-fn run_agent_lost() -> Option<(Code, Time)> {
+/// Runs the claim protocol with a request whose agent died, on a healthy platform, and returns the
+/// final code and its time.
+fn run_with_agent_lost() -> Option<(Code, Time)> {
     let mut now = Time::ZERO;
-    let (mut run, mut next) = ClaimRun::start(Digest::of(b"body"), dispatch(), DEADLINE, now);
+    let (mut run, mut next) = ClaimMachine::start(Digest::of(b"body"), dispatch(), DEADLINE, now);
     let mut object = None;
     for revision in 1..MAX_STEPS {
-        now = now + CALL;
+        now = now + CALL_DURATION;
         next = match next {
-            Do::Read => run.step(Event::Found(object.clone()), now),
-            Do::Write(claim, _) => {
+            Action::Read => run.step(Event::Found(object.clone()), now),
+            Action::Write(claim, _) => {
                 let revision = Revision(revision as u64);
                 object = Some((revision, claim));
                 run.step(Event::Written(revision), now)
             }
-            Do::Dispatch => run.lost(now),
-            Do::AskAgent(_) => run.step(Event::Agent(None), now),
-            Do::Wait(span) => {
+            Action::Dispatch => run.contact_lost(now),
+            Action::QueryAgent(_) => run.step(Event::AgentReply(None), now),
+            Action::Wait(span) => {
                 now = now + span;
                 run.step(Event::Waited, now)
             }
-            Do::Refuse(code) => return Some((code, now)),
-            Do::Answer(_) => return None,
+            Action::Refuse(code) => return Some((code, now)),
+            Action::Respond(_) => return None,
         };
     }
     None
 }
 
-/// The host of the booking desk dies with a booking, and the platform goes on answering that the
-/// claim is pending. Each of its answers was taken for progress, so the entry asked for ever and
-/// the member at the telephone never heard what became of the booking.
+/// The agent dies with a booking while the platform still returns the claim as pending. Each of
+/// those reads counted as progress, so the entry repeated its query forever and the caller never
+/// got an outcome.
 #[test]
-fn step_agent_lost_ends() {
-    let (code, ended) = run_agent_lost().expect("the run ends with a refusal");
+fn step_agent_lost() {
+    let (code, ended) = run_with_agent_lost().expect("the run ends with a refusal");
     assert_eq!(code.outcome(), Outcome::Unknown, "{code}");
-    assert!(ended <= DEADLINE + PATIENCE * 2, "{ended:?}");
+    assert!(ended <= DEADLINE + UNREACHABLE_TIMEOUT * 2, "{ended:?}");
 }
--- a/core/tests/requests/admission.rs
+++ b/core/tests/requests/admission.rs
@@ -2,111 +2,114 @@
 
 use mastichaven_core::admission::Admission;
 use mastichaven_core::admission::COLD_LIMIT;
-use mastichaven_core::admission::Left;
-use mastichaven_core::admission::Place;
-use mastichaven_core::admission::WARM_AFTER;
+use mastichaven_core::admission::Permit;
+use mastichaven_core::admission::RequestEnd;
+use mastichaven_core::admission::WARM_UP_REQUESTS;
 
-const FAST: Left = Left::Whole(Duration::from_millis(20));
+const COMPLETE_FAST: RequestEnd = RequestEnd::Complete(Duration::from_millis(20));
 
-fn fill(admission: &mut Admission) -> Vec<Place> {
-    std::iter::from_fn(|| admission.try_enter(100)).collect()
+fn acquire_all(admission: &mut Admission) -> Vec<Permit> {
+    std::iter::from_fn(|| admission.try_acquire(100)).collect()
 }
 
-fn complete_rounds(admission: &mut Admission, rounds: u32, left: Left) -> u32 {
-    let mut most = 0;
+fn complete_rounds(admission: &mut Admission, rounds: u32, end: RequestEnd) -> u32 {
+    let mut max_admitted = 0;
     for _ in 0..rounds {
-        let places = fill(admission);
-        most = places.len() as u32;
-        for place in places {
-            admission.leave(place, left);
+        let permits = acquire_all(admission);
+        max_admitted = permits.len() as u32;
+        for permit in permits {
+            admission.release(permit, end);
         }
     }
-    most
+    max_admitted
 }
 
-// A fresh engine falls over when it gets what a warm one bears.
+// A new engine fails under the load that a warm one handles.
 #[test]
-fn try_enter_cold_until_it_has_completed_work() {
+fn try_acquire_cold_until_warm_up() {
     let mut admission = Admission::cold(16);
     let mut completed = 0;
-    while completed < WARM_AFTER {
-        let places = fill(&mut admission);
-        assert_eq!(places.len() as u32, COLD_LIMIT);
+    while completed < WARM_UP_REQUESTS {
+        let permits = acquire_all(&mut admission);
+        assert_eq!(permits.len() as u32, COLD_LIMIT);
         completed += COLD_LIMIT;
-        for place in places {
-            admission.leave(place, FAST);
+        for permit in permits {
+            admission.release(permit, COMPLETE_FAST);
         }
     }
-    assert_eq!(complete_rounds(&mut admission, 6, FAST), 16);
+    assert_eq!(complete_rounds(&mut admission, 6, COMPLETE_FAST), 16);
 }
 
-// A warm engine restarts between two looks of its agent. What goes out before a sign of its new
-// life is no more than a cold one bears.
+// A warm engine restarts between two checks of its agent. Until the new start id is seen, it must
+// get no more requests than a cold engine handles.
 #[test]
-fn needs_sign_of_life_bounds_what_a_restart_can_get() {
+fn needs_confirmation_bounds_unseen_restart() {
     let mut admission = Admission::cold(16);
-    complete_rounds(&mut admission, 12, FAST);
-    let mut unseen = 0;
-    while !admission.needs_sign_of_life() {
-        let place = admission.try_enter(100);
-        assert!(place.is_some());
-        admission.sent();
-        unseen += 1;
+    complete_rounds(&mut admission, 12, COMPLETE_FAST);
+    let mut sent = 0;
+    while !admission.needs_confirmation() {
+        let permit = admission.try_acquire(100);
+        assert!(permit.is_some());
+        admission.record_sent();
+        sent += 1;
     }
-    assert_eq!(unseen, COLD_LIMIT);
+    assert_eq!(sent, COLD_LIMIT);
     admission.restart();
-    assert!(admission.try_enter(100).is_none(), "two of the old life still hold places");
+    assert!(
+        admission.try_acquire(100).is_none(),
+        "two requests from before the restart still hold permits"
+    );
 }
 
 #[test]
-fn leave_of_an_earlier_life_warms_nobody() {
+fn release_after_restart() {
     let mut admission = Admission::cold(16);
-    complete_rounds(&mut admission, 12, FAST);
-    let old = fill(&mut admission);
+    complete_rounds(&mut admission, 12, COMPLETE_FAST);
+    let old = acquire_all(&mut admission);
     admission.restart();
-    for place in old {
-        admission.leave(place, FAST);
+    for permit in old {
+        admission.release(permit, COMPLETE_FAST);
     }
-    assert_eq!(fill(&mut admission).len() as u32, COLD_LIMIT);
+    assert_eq!(acquire_all(&mut admission).len() as u32, COLD_LIMIT);
 }
 
-// An engine turns cold without a restart; all that shows is that first bytes come late.
+// An engine becomes cold without a restart; the only sign is the latency to the first byte.
 #[test]
-fn leave_after_a_latency_jump_turns_cold() {
+fn release_after_latency_jump() {
     let mut admission = Admission::cold(16);
-    complete_rounds(&mut admission, 12, FAST);
-    let slow = Left::Whole(Duration::from_millis(600));
+    complete_rounds(&mut admission, 12, COMPLETE_FAST);
+    let slow = RequestEnd::Complete(Duration::from_millis(600));
     for _ in 0..2 {
-        let place = admission.try_enter(100).unwrap();
-        admission.leave(place, slow);
+        let permit = admission.try_acquire(100).unwrap();
+        admission.release(permit, slow);
     }
-    assert_eq!(fill(&mut admission).len() as u32, COLD_LIMIT);
+    assert_eq!(acquire_all(&mut admission).len() as u32, COLD_LIMIT);
 }
 
 #[test]
-fn try_enter_alone_empties_the_endpoint_first() {
+fn try_acquire_exclusive_waits_for_idle() {
     let mut admission = Admission::cold(16);
-    let innocent = admission.try_enter(100).unwrap();
-    assert!(admission.reserve_alone());
-    assert!(!admission.reserve_alone());
-    assert!(admission.try_enter(100).is_none());
-    assert!(admission.try_enter_alone(100).is_none());
-    admission.leave(innocent, FAST);
-    let suspect = admission.try_enter_alone(100).unwrap();
-    assert!(admission.try_enter(100).is_none());
-    admission.leave(suspect, FAST);
-    assert!(admission.try_enter(100).is_some());
+    let other = admission.try_acquire(100).unwrap();
+    assert!(admission.reserve_exclusive());
+    assert!(!admission.reserve_exclusive());
+    assert!(admission.try_acquire(100).is_none());
+    assert!(admission.try_acquire_exclusive(100).is_none());
+    admission.release(other, COMPLETE_FAST);
+    let suspect = admission.try_acquire_exclusive(100).unwrap();
+    assert!(admission.try_acquire(100).is_none());
+    admission.release(suspect, COMPLETE_FAST);
+    assert!(admission.try_acquire(100).is_some());
 }
 
-// A few prompts are a hundred times larger than usual; by their number alone the engine would be
-// given many times the work it bears.
+// A few prompts are a hundred times larger than average. Limited by their number alone, they would
+// exceed the work that the engine can handle.
 #[test]
-fn try_enter_counts_work() {
+fn try_acquire_limits_work() {
     let mut admission = Admission::cold(16);
-    complete_rounds(&mut admission, 12, FAST);
-    let mut entered = 0;
-    while admission.try_enter(10_000).is_some() {
-        entered += 1;
+    complete_rounds(&mut admission, 12, COMPLETE_FAST);
+    let mut admitted = 0;
+    while admission.try_acquire(10_000).is_some() {
+        admitted += 1;
     }
-    assert!((1..=4).contains(&entered), "{entered}");
+    assert!((1..=4).contains(&admitted), "{admitted}");
 }
--- a/core/tests/requests/quarantine.rs
+++ b/core/tests/requests/quarantine.rs
@@ -4,35 +4,39 @@
 use mastichaven_core::ids::Digest;
 use mastichaven_core::quarantine::Crash;
 use mastichaven_core::quarantine::Quarantine;
-use mastichaven_core::quarantine::Verdict;
+use mastichaven_core::quarantine::RunPolicy;
 
 const SPAN: Duration = Duration::from_secs(60);
 
-// One request crashes each engine that runs it, and its caller sends it again and again. Those
-// that ran beside it when it first did so look just as guilty.
+// A request crashes each engine that runs it and is retried repeatedly. At its first crash another
+// request was in progress and becomes a suspect as well.
 #[test]
-fn verdict_ends_the_crashes_and_spares_the_innocent() {
-    let (guilty, innocent) = (Digest::of(b"poison"), Digest::of(b"rota draft"));
+fn policy_after_shared_and_exclusive_crash() {
+    let (culprit, innocent) = (Digest::of(b"poison"), Digest::of(b"rota draft"));
     let mut quarantine = Quarantine::default();
-    for request in [guilty, innocent] {
-        quarantine.crashed(Crash { request, beside: 1 }, Time::ZERO);
-        assert_eq!(quarantine.verdict(request, SPAN, Time::ZERO), Verdict::Alone);
+    for request in [culprit, innocent] {
+        quarantine.record_crash(Crash { request, concurrent: 1 }, Time::ZERO);
+        assert_eq!(quarantine.policy(request, SPAN, Time::ZERO), RunPolicy::Exclusive);
     }
-    quarantine.came_through(innocent);
-    quarantine.crashed(Crash { request: guilty, beside: 0 }, Time::ZERO);
-    assert_eq!(quarantine.verdict(innocent, SPAN, Time::ZERO), Verdict::Free);
-    assert_eq!(quarantine.verdict(guilty, SPAN, Time::ZERO), Verdict::Refused);
+    quarantine.clear(innocent);
+    quarantine.record_crash(Crash { request: culprit, concurrent: 0 }, Time::ZERO);
+    assert_eq!(quarantine.policy(innocent, SPAN, Time::ZERO), RunPolicy::Shared);
+    assert_eq!(quarantine.policy(culprit, SPAN, Time::ZERO), RunPolicy::Refused);
     let later = Time::ZERO + SPAN;
-    assert_eq!(quarantine.verdict(guilty, SPAN, later), Verdict::Alone, "it may try again, alone");
+    assert_eq!(
+        quarantine.policy(culprit, SPAN, later),
+        RunPolicy::Exclusive,
+        "it may run exclusively after the quarantine"
+    );
 }
 
-// An innocent request has the bad luck to run beside two that crash their engines.
+// A request was in progress during several crashes caused by others.
 #[test]
-fn verdict_never_refuses_what_has_not_crashed_alone() {
+fn policy_after_shared_crashes_only() {
     let request = Digest::of(b"rota draft");
     let mut quarantine = Quarantine::default();
     for _ in 0..5 {
-        quarantine.crashed(Crash { request, beside: 3 }, Time::ZERO);
+        quarantine.record_crash(Crash { request, concurrent: 3 }, Time::ZERO);
     }
-    assert_eq!(quarantine.verdict(request, SPAN, Time::ZERO), Verdict::Alone);
+    assert_eq!(quarantine.policy(request, SPAN, Time::ZERO), RunPolicy::Exclusive);
 }
--- a/core/tests/requests/share.rs
+++ b/core/tests/requests/share.rs
@@ -1,36 +1,36 @@
 use mastichaven_core::Time;
-use mastichaven_core::share::Shares;
+use mastichaven_core::share::EntryShares;
 
-// One entry fills an endpoint and refills each place the moment it is free. Another one, whose
-// callers wait as well, finds it full each time it asks.
+// One entry fills an endpoint and refills each slot as soon as it is free. Another entry with
+// waiting requests finds the endpoint full on each attempt.
 #[test]
-fn may_enter_keeps_places_for_the_refused() {
-    let mut shares = Shares::default();
-    let (greedy, starved, limit) = (1, 2, 8);
+fn may_acquire_after_refusal_of_other_entry() {
+    let mut shares = EntryShares::default();
+    let (saturating, waiting, limit) = (1, 2, 8);
     for _ in 0..limit {
-        shares.entered(greedy, Time::ZERO);
+        shares.acquire(saturating, Time::ZERO);
     }
-    shares.refused(starved, Time::ZERO);
+    shares.record_refusal(waiting, Time::ZERO);
     let soon = Time::from_millis(50);
     for _ in 0..4 {
-        shares.left(greedy);
-        assert!(!shares.may_enter(greedy, limit, soon));
-        assert!(shares.may_enter(starved, limit, soon));
+        shares.release(saturating);
+        assert!(!shares.may_acquire(saturating, limit, soon));
+        assert!(shares.may_acquire(waiting, limit, soon));
     }
     for _ in 0..4 {
-        shares.entered(starved, soon);
+        shares.acquire(waiting, soon);
     }
-    shares.left(greedy);
-    assert!(shares.may_enter(greedy, limit, soon), "both have their share");
+    shares.release(saturating);
+    assert!(shares.may_acquire(saturating, limit, soon), "both entries have their share");
 }
 
 #[test]
-fn may_enter_gives_unwanted_places_to_anybody() {
-    let mut shares = Shares::default();
-    shares.refused(2, Time::ZERO);
+fn may_acquire_after_refusal_expired() {
+    let mut shares = EntryShares::default();
+    shares.record_refusal(2, Time::ZERO);
     for _ in 0..7 {
-        shares.entered(1, Time::ZERO);
+        shares.acquire(1, Time::ZERO);
     }
-    assert!(!shares.may_enter(1, 8, Time::from_millis(100)));
-    assert!(shares.may_enter(1, 8, Time::from_millis(1_000)), "who wanted has gone elsewhere");
+    assert!(!shares.may_acquire(1, 8, Time::from_millis(100)));
+    assert!(shares.may_acquire(1, 8, Time::from_millis(1_000)), "the refusal has expired");
 }
--- a/core/tests/weights/orders.rs
+++ b/core/tests/weights/orders.rs
@@ -101,15 +101,19 @@
 fn gate_checks_answer_after_restart_and_switch() {
     let serving = Serving::Model { model: "rota".into(), version: digest(1), start: StartId(1) };
     let service = "rota".into();
-    assert_eq!(gate::enter(&serving, &service, Some(digest(2))), Err(Code::WrongVersion));
-    assert_eq!(gate::enter(&Serving::Nothing, &service, None), Err(Code::EndpointClosed));
-    let pass = gate::enter(&serving, &service, Some(digest(1))).unwrap();
-    assert_eq!(pass.check(Some(StartId(1)), Some(digest(1))), Ok(()));
+    assert_eq!(gate::check_serving(&serving, &service, Some(digest(2))), Err(Code::WrongVersion));
+    assert_eq!(gate::check_serving(&Serving::Nothing, &service, None), Err(Code::EndpointClosed));
+    let source = gate::check_serving(&serving, &service, Some(digest(1))).unwrap();
+    assert_eq!(source.check_response(Some(StartId(1)), Some(digest(1))), Ok(()));
     for (start, version) in [(2, 1), (1, 2)] {
-        let answer = pass.check(Some(StartId(start)), Some(digest(version)));
+        let answer = source.check_response(Some(StartId(start)), Some(digest(version)));
         assert_eq!(answer, Err(Code::EndpointLost));
     }
-    assert_eq!(pass.check(None, None), Err(Code::EndpointLost), "an engine that does not say");
+    assert_eq!(
+        source.check_response(None, None),
+        Err(Code::EndpointLost),
+        "an engine that does not say"
+    );
 }
 
 // Operators change the version. Entries that followed the configuration at once would find no
--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -20,6 +20,7 @@
 
 use mastichaven_core::Code;
 use mastichaven_core::admission::Admission;
+use mastichaven_core::attempts::AttemptTable;
 use mastichaven_core::ids::Digest;
 use mastichaven_core::ids::HostName;
 use mastichaven_core::ids::Incarnation;
@@ -30,8 +31,7 @@
 use mastichaven_core::members::Serving;
 use mastichaven_core::plan::Plan;
 use mastichaven_core::platform::HostRole;
-use mastichaven_core::record::Record;
-use mastichaven_core::share::Shares;
+use mastichaven_core::share::EntryShares;
 use mastichaven_core::swarm::PeerPlace;
 use mastichaven_core::swarm::Way;
 use mastichaven_core::wire::Ask;
@@ -98,8 +98,8 @@
     engine: Engine,
     serving: Mutex<Serving>,
     admission: Mutex<Admission>,
-    record: Mutex<Record>,
-    shares: Mutex<Shares>,
+    attempts: Mutex<AttemptTable>,
+    shares: Mutex<EntryShares>,
     last_crash: Mutex<(StartId, u32)>,
     runs: flume::Sender<run::Job>,
     store: Arc<Store>,
@@ -227,7 +227,7 @@
             transport,
             serving: Mutex::new(Serving::Nothing),
             admission: Mutex::new(Admission::cold(warm_limit)),
-            record: Mutex::default(),
+            attempts: Mutex::default(),
             shares: Mutex::default(),
             last_crash: Mutex::default(),
             runs,
@@ -413,7 +413,7 @@
                 "received": self.transport.traffic().received,
             },
             "running": self.running.load(Ordering::Acquire),
-            "on_record": self.record.lock().expect("no holder of this lock panics").len(),
+            "on_record": self.attempts.lock().expect("no holder of this lock panics").len(),
             "weights": {
                 "chunks": chunks,
                 "versions": versions,
--- a/node/src/agent/asks.rs
+++ b/node/src/agent/asks.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mastichaven_core::run::VoidAsk;
 use mastichaven_core::run::VoidReply;
+use mastichaven_core::run::VoidRequest;
 use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
@@ -46,9 +46,9 @@
 }
 
 /// A request that has not started in this life is marked, so that its late frames are refused.
-fn void(shared: &Shared, ask: &VoidAsk) -> VoidReply {
+fn void(shared: &Shared, ask: &VoidRequest) -> VoidReply {
     if ask.incarnation != shared.incarnation {
         return VoidReply::Unknown;
     }
-    shared.record.lock().expect("no holder of this lock panics").void(ask.request)
+    shared.attempts.lock().expect("no holder of this lock panics").void(ask.request)
 }
--- a/node/src/agent/run.rs
+++ b/node/src/agent/run.rs
@@ -11,19 +11,19 @@
 use bytes::BytesMut;
 use mastichaven_core::Code;
 use mastichaven_core::Outcome;
-use mastichaven_core::admission::Left;
-use mastichaven_core::admission::Place;
+use mastichaven_core::admission::Permit;
+use mastichaven_core::admission::RequestEnd;
 use mastichaven_core::claim;
 use mastichaven_core::config::Service;
 use mastichaven_core::config::ZoneState;
 use mastichaven_core::gate;
-use mastichaven_core::gate::Pass;
+use mastichaven_core::gate::ExpectedSource;
 use mastichaven_core::ids::StartId;
 use mastichaven_core::members::Serving;
-use mastichaven_core::run::RunAsk;
+use mastichaven_core::run::FullResponse;
 use mastichaven_core::run::RunFrame;
+use mastichaven_core::run::RunRequest;
 use mastichaven_core::run::VoidReply;
-use mastichaven_core::run::WholeAnswer;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
 use tokio::time::timeout;
@@ -52,12 +52,12 @@
 
 /// A request that arrived, and where its frames go.
 pub(super) struct Job {
-    ask: RunAsk,
+    ask: RunRequest,
     replies: ReplySink,
 }
 
 /// Hands `ask` to the thread, or refuses it when the ring is full.
-pub(super) fn offer(shared: &Shared, ask: RunAsk, replies: ReplySink) {
+pub(super) fn offer(shared: &Shared, ask: RunRequest, replies: ReplySink) {
     if let Err(error) = shared.runs.try_send(Job { ask, replies }) {
         let refused = RunFrame::Refused { code: Code::Busy, load: load(shared) };
         let _ = error.into_inner().replies.send(reply(shared, refused));
@@ -85,7 +85,7 @@
     frame: RunFrame,
     /// What a void of it is told from now on.
     record: VoidReply,
-    left: Left,
+    left: RequestEnd,
 }
 
 async fn serve(shared: Arc<Shared>, job: Job) {
@@ -100,15 +100,15 @@
 }
 
 /// Runs `ask`; an error proves that it did not run.
-async fn run_one(shared: &Arc<Shared>, ask: &RunAsk, replies: &ReplySink) -> Result<(), Code> {
+async fn run_one(shared: &Arc<Shared>, ask: &RunRequest, replies: &ReplySink) -> Result<(), Code> {
     check(shared, ask)?;
     let start = open_for(shared, ask)?;
     let mut entered = enter(shared, ask).await?;
-    lock(&shared.record).start(ask.request)?;
+    lock(&shared.attempts).start(ask.request)?;
     let line = match open_line(shared, start).await {
         Ok(line) => line,
         Err(code) => {
-            lock(&shared.record).finish(ask.request, VoidReply::Voided);
+            lock(&shared.attempts).finish(ask.request, VoidReply::Voided);
             return Err(code);
         }
     };
@@ -117,7 +117,7 @@
         RunFrame::Failed { code, .. } => *code,
         _ => Code::Ok,
     });
-    lock(&shared.record).finish(ask.request, ended.record);
+    lock(&shared.attempts).finish(ask.request, ended.record);
     entered.leave(ended.left);
     let frame = match ended.frame {
         RunFrame::End { attempt, frames, .. } => {
@@ -130,7 +130,7 @@
 }
 
 /// Checks everything but the endpoint itself.
-fn check(shared: &Shared, ask: &RunAsk) -> Result<(), Code> {
+fn check(shared: &Shared, ask: &RunRequest) -> Result<(), Code> {
     let in_force = shared.documents.in_force();
     let zone = in_force.config.zone.get(&shared.settings.place.zone);
     if shared.is_leaving() || zone.is_some_and(|zone| zone.state == ZoneState::Out) {
@@ -140,50 +140,50 @@
     if ask.incarnation != Some(shared.incarnation) {
         return Err(Code::EndpointClosed);
     }
-    lock(&shared.record).check(ask.request)?;
+    lock(&shared.attempts).check_start(ask.request)?;
     if let Some(Service::Plain { concurrent, .. }) = in_force.config.service.get(&ask.service) {
         lock(&shared.admission).set_max(*concurrent);
     }
     Ok(())
 }
 
-fn open_for(shared: &Shared, ask: &RunAsk) -> Result<StartId, Code> {
+fn open_for(shared: &Shared, ask: &RunRequest) -> Result<StartId, Code> {
     let serving = lock(&shared.serving);
-    gate::enter(&serving, &ask.service, ask.version).map(|pass| pass.start())
+    gate::check_serving(&serving, &ask.service, ask.version).map(|source| source.start())
 }
 
-async fn enter(shared: &Arc<Shared>, ask: &RunAsk) -> Result<Entered, Code> {
+async fn enter(shared: &Arc<Shared>, ask: &RunRequest) -> Result<Entered, Code> {
     let place =
-        if ask.alone { enter_alone(shared, ask).await? } else { enter_beside(shared, ask)? };
+        if ask.exclusive { enter_alone(shared, ask).await? } else { enter_beside(shared, ask)? };
     let entry = ask.request.sender();
-    lock(&shared.shares).entered(entry, shared.clock.now());
+    lock(&shared.shares).acquire(entry, shared.clock.now());
     Ok(Entered { shared: shared.clone(), entry, place: Some(place) })
 }
 
-fn enter_beside(shared: &Shared, ask: &RunAsk) -> Result<Place, Code> {
+fn enter_beside(shared: &Shared, ask: &RunRequest) -> Result<Permit, Code> {
     let (entry, now) = (ask.request.sender(), shared.clock.now());
     let mut shares = lock(&shared.shares);
     let mut admission = lock(&shared.admission);
-    let has_share = shares.may_enter(entry, admission.load().limit, now);
-    let place = if has_share { admission.try_enter(ask.work) } else { None };
+    let has_share = shares.may_acquire(entry, admission.load().limit, now);
+    let place = if has_share { admission.try_acquire(ask.work) } else { None };
     if place.is_none() {
-        shares.refused(entry, now);
+        shares.record_refusal(entry, now);
     }
     place.ok_or(Code::EndpointFull)
 }
 
-async fn enter_alone(shared: &Shared, ask: &RunAsk) -> Result<Place, Code> {
-    if !lock(&shared.admission).reserve_alone() {
+async fn enter_alone(shared: &Shared, ask: &RunRequest) -> Result<Permit, Code> {
+    if !lock(&shared.admission).reserve_exclusive() {
         return Err(Code::EndpointFull);
     }
     let started = Instant::now();
     while started.elapsed() < ALONE_WAIT {
-        if let Some(place) = lock(&shared.admission).try_enter_alone(ask.work) {
+        if let Some(place) = lock(&shared.admission).try_acquire_exclusive(ask.work) {
             return Ok(place);
         }
         tokio::time::sleep(ALONE_POLL).await;
     }
-    lock(&shared.admission).give_up_alone();
+    lock(&shared.admission).cancel_exclusive();
     Err(Code::EndpointFull)
 }
 
@@ -191,27 +191,27 @@
 struct Entered {
     shared: Arc<Shared>,
     entry: u64,
-    place: Option<Place>,
+    place: Option<Permit>,
 }
 
 impl Entered {
-    fn leave(&mut self, left: Left) {
+    fn leave(&mut self, left: RequestEnd) {
         if let Some(place) = self.place.take() {
-            lock(&self.shared.shares).left(self.entry);
-            lock(&self.shared.admission).leave(place, left);
+            lock(&self.shared.shares).release(self.entry);
+            lock(&self.shared.admission).release(place, left);
         }
     }
 }
 
 impl Drop for Entered {
     fn drop(&mut self) {
-        self.leave(Left::Early);
+        self.leave(RequestEnd::Aborted);
     }
 }
 
 /// Opens a connection after the endpoint has shown a recent sign of the life `start`.
 async fn open_line(shared: &Shared, start: StartId) -> Result<Line, Code> {
-    while lock(&shared.admission).needs_sign_of_life() {
+    while lock(&shared.admission).needs_confirmation() {
         match endpoint::start_id(shared.engine.base()).await {
             Ok(found) if found == start => lock(&shared.admission).confirm(),
             _ => {
@@ -220,7 +220,7 @@
             }
         }
     }
-    lock(&shared.admission).sent();
+    lock(&shared.admission).record_sent();
     match endpoint::open(shared.engine.base()).await {
         Ok(line) => Ok(line),
         Err(code) => {
@@ -245,7 +245,7 @@
 
 async fn forward(
     shared: &Arc<Shared>,
-    ask: &RunAsk,
+    ask: &RunRequest,
     start: StartId,
     line: Line,
     replies: &ReplySink,
@@ -274,14 +274,16 @@
 
 /// An engine that restarted or switched between the gate and the answer says so in its headers;
 /// without this check the caller would read an answer from other weights.
-fn check_answer(ask: &RunAsk, start: StartId, answer: Answer) -> Result<Answer, Code> {
-    Pass::new(start, ask.version).check(answer.start, answer.version).map(|()| answer)
+fn check_answer(ask: &RunRequest, start: StartId, answer: Answer) -> Result<Answer, Code> {
+    ExpectedSource::new(start, ask.version)
+        .check_response(answer.start, answer.version)
+        .map(|()| answer)
 }
 
 /// An answer on its way from the endpoint to the entry.
 struct Passing<'a> {
     shared: &'a Arc<Shared>,
-    ask: &'a RunAsk,
+    ask: &'a RunRequest,
     start: StartId,
     replies: &'a ReplySink,
     first_byte: Duration,
@@ -311,7 +313,7 @@
                 Some(Ok(bytes)) => bytes,
                 Some(Err(code)) => return cut(self.shared, self.ask, code, self.start).await,
             };
-            if self.ask.keep && kept.len() <= claim::MAX_ANSWER_LEN {
+            if self.ask.keep_response && kept.len() <= claim::MAX_STORED_RESPONSE_LEN {
                 kept.extend_from_slice(&bytes);
             }
             left = left || self.send_data(frames, bytes).await.is_err();
@@ -328,8 +330,8 @@
     }
 
     fn whole(&self, answer: &Answer, kept: Bytes, frames: u32) -> Ended {
-        let keeps = self.ask.keep && kept.len() <= claim::MAX_ANSWER_LEN;
-        let kept = keeps.then(|| WholeAnswer {
+        let keeps = self.ask.keep_response && kept.len() <= claim::MAX_STORED_RESPONSE_LEN;
+        let kept = keeps.then(|| FullResponse {
             status: answer.status,
             content_type: answer.content_type.clone(),
             body: kept,
@@ -337,13 +339,13 @@
         Ended {
             frame: RunFrame::End { attempt: self.ask.attempt, frames, load: Default::default() },
             record: VoidReply::Ran(kept),
-            left: Left::Whole(self.first_byte),
+            left: RequestEnd::Complete(self.first_byte),
         }
     }
 }
 
 /// An attempt that ended without a whole answer: finds out whether its endpoint still lives.
-async fn cut(shared: &Arc<Shared>, ask: &RunAsk, code: Code, start: StartId) -> Ended {
+async fn cut(shared: &Arc<Shared>, ask: &RunRequest, code: Code, start: StartId) -> Ended {
     let mut beside = load(shared).requests.saturating_sub(1);
     let mut crashed = false;
     if code == Code::CallerLeft || code == Code::DeadlineDuringRun {
@@ -365,8 +367,8 @@
         Outcome::NotRun => VoidReply::Voided,
         Outcome::Ran | Outcome::Unknown => VoidReply::Unknown,
     };
-    let frame = RunFrame::Failed { attempt: ask.attempt, code, crashed, beside };
-    Ended { frame, record, left: Left::Early }
+    let frame = RunFrame::Failed { attempt: ask.attempt, code, crashed, concurrent: beside };
+    Ended { frame, record, left: RequestEnd::Aborted }
 }
 
 /// How many ran beside a request when the life `start` ended. Those that it took with it leave one
@@ -378,7 +380,7 @@
     most
 }
 
-fn first_byte_limit(shared: &Shared, ask: &RunAsk) -> Duration {
+fn first_byte_limit(shared: &Shared, ask: &RunRequest) -> Duration {
     if !ask.idempotent {
         return UNREPEATABLE_WAIT;
     }
@@ -386,7 +388,7 @@
     Duration::from_millis(limits.first_byte_ms.min(ask.deadline_ms))
 }
 
-fn between_bytes_limit(shared: &Shared, ask: &RunAsk) -> Duration {
+fn between_bytes_limit(shared: &Shared, ask: &RunRequest) -> Duration {
     if !ask.idempotent {
         return UNREPEATABLE_WAIT;
     }
--- a/node/src/endpoint.rs
+++ b/node/src/endpoint.rs
@@ -20,7 +20,7 @@
 use mastichaven_core::Code;
 use mastichaven_core::ids::Digest;
 use mastichaven_core::ids::StartId;
-use mastichaven_core::run::RunAsk;
+use mastichaven_core::run::RunRequest;
 use smol_str::SmolStr;
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
@@ -101,7 +101,7 @@
 
 impl Line {
     /// Sends `ask` and waits for the head of its answer.
-    pub async fn run(self, ask: &RunAsk) -> Result<Answer> {
+    pub async fn run(self, ask: &RunRequest) -> Result<Answer> {
         let request = Request::builder()
             .method(ask.method.as_str())
             .uri(ask.path.as_str())
@@ -152,12 +152,12 @@
 }
 
 /// Tells the endpoint at `base` that nobody waits for `ask` any more.
-pub async fn cancel(base: &str, ask: &RunAsk) {
+pub async fn cancel(base: &str, ask: &RunRequest) {
     let body = serde_json::json!({ "id": request_name(ask) }).to_string();
     let ask = async { open(base).await?.whole("POST", "/admin/cancel", body.into()).await };
     let _ = tokio::time::timeout(HEALTH_TIMEOUT, ask).await;
 }
 
-fn request_name(ask: &RunAsk) -> String {
+fn request_name(ask: &RunRequest) -> String {
     format!("{:032x}", ask.request.0)
 }
--- a/node/src/entry/answer.rs
+++ b/node/src/entry/answer.rs
@@ -9,8 +9,8 @@
 use hyper::body::Frame;
 use mastichaven_core::Code;
 use mastichaven_core::Outcome;
-use mastichaven_core::run::WholeAnswer;
-use mastichaven_core::stream::EventCutter;
+use mastichaven_core::run::FullResponse;
+use mastichaven_core::stream::EventSplitter;
 
 use super::Shared;
 use super::dispatch::Opened;
@@ -51,7 +51,7 @@
 }
 
 /// An answer that is whole before its status goes out.
-pub(super) fn whole(answer: WholeAnswer) -> Result<Response<AnswerBody>, Code> {
+pub(super) fn whole(answer: FullResponse) -> Result<Response<AnswerBody>, Code> {
     Response::builder()
         .status(answer.status)
         .header("content-type", answer.content_type.as_str())
@@ -95,7 +95,7 @@
     shared: Arc<Shared>,
     parsed: Parsed,
     journey: requests::Journey,
-    cutter: EventCutter,
+    cutter: EventSplitter,
     tx: FrameSender,
 }
 
@@ -107,7 +107,7 @@
                 Err(Code::CallerLeft) => return,
                 Err(code) => code,
             };
-            self.cutter.restart_event();
+            self.cutter.discard_partial_event();
             drop(opened);
             let tokens = self.cutter.tokens();
             match self.journey.open(&self.shared, &mut self.parsed, tokens).await {
@@ -124,7 +124,7 @@
                 () = left(&self.tx) => return Err(Code::CallerLeft),
             };
             let Some(bytes) = next else {
-                return if self.cutter.is_whole() { Ok(()) } else { Err(Code::Truncated) };
+                return if self.cutter.is_complete() { Ok(()) } else { Err(Code::Truncated) };
             };
             if let Some(events) = self.cutter.push(&bytes)? {
                 let sent = self.tx.send_async(Ok(Frame::data(events))).await;
--- a/node/src/entry/claims.rs
+++ b/node/src/entry/claims.rs
@@ -1,4 +1,4 @@
-//! Requests with an idempotency key: carries out what [`ClaimRun`] decides.
+//! Requests with an idempotency key: carries out what [`ClaimMachine`] decides.
 //!
 //! Platform calls block, so a few threads make them, behind a bounded ring; a full ring counts as
 //! a platform that is down. An entry that cannot reach the platform itself passes its calls on
@@ -13,10 +13,10 @@
 use mastichaven_core::Code;
 use mastichaven_core::Time;
 use mastichaven_core::claim;
+use mastichaven_core::claim::Action;
 use mastichaven_core::claim::Claim;
-use mastichaven_core::claim::ClaimRun;
+use mastichaven_core::claim::ClaimMachine;
 use mastichaven_core::claim::Dispatch;
-use mastichaven_core::claim::Do;
 use mastichaven_core::claim::Event;
 use mastichaven_core::ids::Attempt;
 use mastichaven_core::ids::Revision;
@@ -26,10 +26,10 @@
 use mastichaven_core::platform::Object;
 use mastichaven_core::platform::ObjectStore;
 use mastichaven_core::platform::PlatformError;
-use mastichaven_core::relay::RelayAsk;
 use mastichaven_core::relay::RelayReply;
+use mastichaven_core::relay::RelayRequest;
+use mastichaven_core::run::FullResponse;
 use mastichaven_core::run::VoidReply;
-use mastichaven_core::run::WholeAnswer;
 use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
@@ -68,7 +68,7 @@
 pub(super) enum Job {
     Read(String, oneshot::Sender<Event>),
     Write(String, Bytes, Expect, oneshot::Sender<Event>),
-    Relay(RelayAsk, ReplySink),
+    Relay(RelayRequest, ReplySink),
 }
 
 /// Hands calls to the threads.
@@ -84,7 +84,7 @@
     }
 
     /// Serves a call that another entry passes on.
-    pub(super) fn relay(&self, ask: RelayAsk, replies: ReplySink) {
+    pub(super) fn relay(&self, ask: RelayRequest, replies: ReplySink) {
         if let Err(error) = self.jobs.try_send(Job::Relay(ask, replies))
             && let Job::Relay(_, replies) = error.into_inner()
         {
@@ -96,9 +96,9 @@
     async fn call(&self, job: impl FnOnce(oneshot::Sender<Event>) -> Job) -> Event {
         let (tx, rx) = oneshot::channel();
         if self.jobs.try_send(job(tx)).is_err() {
-            return Event::Down;
+            return Event::Unavailable;
         }
-        rx.await.unwrap_or(Event::Lost)
+        rx.await.unwrap_or(Event::WriteUnknown)
     }
 
     fn avoids_platform(&self, now: Time) -> bool {
@@ -140,9 +140,9 @@
         Ok(None) => Event::Found(None),
         Ok(Some(object)) => match Claim::decode(&object.value) {
             Ok(claim) => Event::Found(Some((object.revision, claim))),
-            Err(_) => Event::Lost,
+            Err(_) => Event::WriteUnknown,
         },
-        Err(_) => Event::Down,
+        Err(_) => Event::Unavailable,
     }
 }
 
@@ -150,8 +150,8 @@
     match write {
         Ok(revision) => Event::Written(revision),
         Err(PlatformError::Conflict) => Event::Conflict,
-        Err(PlatformError::Down | PlatformError::Throttled) => Event::Down,
-        Err(_) => Event::Lost,
+        Err(PlatformError::Down | PlatformError::Throttled) => Event::Unavailable,
+        Err(_) => Event::WriteUnknown,
     }
 }
 
@@ -163,7 +163,7 @@
             found => return found,
         }
     }
-    match relay(shared, &RelayAsk::Get(key.into())) {
+    match relay(shared, &RelayRequest::Get(key.into())) {
         RelayReply::Object(object) => {
             Ok(object.map(|(revision, value)| Object { revision, value }))
         }
@@ -192,17 +192,17 @@
         Expect::Absent => None,
         Expect::At(revision) => Some(revision),
     };
-    match relay(shared, &RelayAsk::Put { key: key.into(), value, expect }) {
+    match relay(shared, &RelayRequest::Put { key: key.into(), value, expect }) {
         RelayReply::Written(revision) => Ok(revision),
         RelayReply::Conflict => Err(PlatformError::Conflict),
-        RelayReply::Down => Err(PlatformError::Down),
+        RelayReply::Unavailable => Err(PlatformError::Down),
         RelayReply::Object(_) | RelayReply::Unknown => Err(PlatformError::Unknown),
     }
 }
 
 /// Passes a call on through entries of other zones first, as they are likelier to reach the
 /// platform; stops at the first answer that is not a proof that nothing was done.
-fn relay(shared: &Shared, ask: &RelayAsk) -> RelayReply {
+fn relay(shared: &Shared, ask: &RelayRequest) -> RelayReply {
     let me = &shared.settings.place;
     let mut entries: Vec<Member> = shared.members().to_vec();
     entries.retain(|m| m.role == HostRole::Entry && m.host != me.host && !m.leaving);
@@ -211,28 +211,28 @@
         let ask = shared.ask(AskBody::Relay(ask.clone()));
         let reply = shared.transport.ask_one(entry.address, &ask, RELAY_TIMEOUT);
         match reply.map(|reply| reply.body) {
-            Ok(ReplyBody::Relay(RelayReply::Down) | ReplyBody::Refused(_))
+            Ok(ReplyBody::Relay(RelayReply::Unavailable) | ReplyBody::Refused(_))
             | Err(Code::Unreachable | Code::Busy) => {}
             Ok(ReplyBody::Relay(reply)) => return reply,
             _ => return RelayReply::Unknown,
         }
     }
-    RelayReply::Down
+    RelayReply::Unavailable
 }
 
-fn serve_relay(shared: &Shared, ask: RelayAsk) -> RelayReply {
+fn serve_relay(shared: &Shared, ask: RelayRequest) -> RelayReply {
     let platform = &shared.platform;
     match ask {
-        RelayAsk::Get(key) => match platform.get(&key) {
+        RelayRequest::Get(key) => match platform.get(&key) {
             Ok(object) => RelayReply::Object(object.map(|o| (o.revision, o.value))),
-            Err(_) => RelayReply::Down,
+            Err(_) => RelayReply::Unavailable,
         },
-        RelayAsk::Put { key, value, expect } => {
+        RelayRequest::Put { key, value, expect } => {
             let expect = expect.map_or(Expect::Absent, Expect::At);
             match platform.put(&key, value, expect) {
                 Ok(revision) => RelayReply::Written(revision),
                 Err(PlatformError::Conflict) => RelayReply::Conflict,
-                Err(PlatformError::Down | PlatformError::Throttled) => RelayReply::Down,
+                Err(PlatformError::Down | PlatformError::Throttled) => RelayReply::Unavailable,
                 Err(_) => RelayReply::Unknown,
             }
         }
@@ -242,7 +242,7 @@
 /// What a keyed request came to.
 pub(super) struct Claimed {
     /// The answer, or why there is none.
-    pub(super) result: Result<WholeAnswer, Refused>,
+    pub(super) result: Result<FullResponse, Refused>,
     /// Whether it is proved that nothing ran under the key; `not-run` needs that.
     pub(super) not_run: bool,
 }
@@ -255,20 +255,21 @@
         Err(refused) => return Claimed { result: Err(refused), not_run: false },
     };
     let now = shared.clock.now();
-    let (run, mut next) = ClaimRun::start(parsed.digest(), lease.to.clone(), parsed.deadline, now);
+    let (run, mut next) =
+        ClaimMachine::start(parsed.digest(), lease.to.clone(), parsed.deadline, now);
     let mut sending = Sending { shared, parsed, run, lease: Some(lease), attempts: 0 };
     loop {
         next = match next {
-            Do::Dispatch => sending.send().await,
-            Do::Answer(answer) => return Claimed { result: Ok(answer), not_run: false },
-            Do::Refuse(Code::Voided) if !sending.run.is_not_run() => {
+            Action::Dispatch => sending.send().await,
+            Action::Respond(answer) => return Claimed { result: Ok(answer), not_run: false },
+            Action::Refuse(Code::Voided) if !sending.run.is_not_run() => {
                 sending.move_on(Code::Voided).await
             }
-            Do::Refuse(code) => {
+            Action::Refuse(code) => {
                 let not_run = sending.run.is_not_run();
                 return Claimed { result: Err(code.into()), not_run };
             }
-            Do::AskAgent(_) | Do::Read | Do::Wait(_) | Do::Write(..) => {
+            Action::QueryAgent(_) | Action::Read | Action::Wait(_) | Action::Write(..) => {
                 let event = carry_out(shared, &object, next).await;
                 sending.run.step(event, shared.clock.now())
             }
@@ -283,16 +284,18 @@
     shared.members().iter().any(is_later)
 }
 
-async fn carry_out(shared: &Shared, object: &str, call: Do) -> Event {
+async fn carry_out(shared: &Shared, object: &str, call: Action) -> Event {
     let key = object.to_owned();
     match call {
-        Do::Write(claim, expect) => {
+        Action::Write(claim, expect) => {
             let value = Bytes::from(claim.encode());
             shared.claims.call(|tx| Job::Write(key, value, expect, tx)).await
         }
-        Do::AskAgent(to) if is_replaced(shared, &to) => Event::Agent(Some(VoidReply::Unknown)),
-        Do::AskAgent(to) => Event::Agent(dispatch::void(shared, &to).await),
-        Do::Wait(span) => {
+        Action::QueryAgent(to) if is_replaced(shared, &to) => {
+            Event::AgentReply(Some(VoidReply::Unknown))
+        }
+        Action::QueryAgent(to) => Event::AgentReply(dispatch::void(shared, &to).await),
+        Action::Wait(span) => {
             tokio::time::sleep(span).await;
             Event::Waited
         }
@@ -304,16 +307,16 @@
 struct Sending<'a> {
     shared: &'a Arc<Shared>,
     parsed: &'a Parsed,
-    run: ClaimRun,
+    run: ClaimMachine,
     /// The endpoint that the claimed attempt may be sent to.
     lease: Option<Lease>,
     attempts: u32,
 }
 
 impl Sending<'_> {
-    async fn send(&mut self) -> Do {
+    async fn send(&mut self) -> Action {
         let Some(lease) = self.lease.take() else {
-            return self.run.lost(self.shared.clock.now());
+            return self.run.contact_lost(self.shared.clock.now());
         };
         if self.parsed.caller.has_left() {
             return self.run.release(Code::CallerLeft);
@@ -323,22 +326,22 @@
         match dispatch::run_whole(self.shared, self.parsed, lease, attempt).await {
             Ok(answer) => self.run.finish(answer, self.shared.clock.now()),
             Err(failure) if failure.is_not_run() => self.move_on(failure.code).await,
-            Err(_) => self.run.lost(self.shared.clock.now()),
+            Err(_) => self.run.contact_lost(self.shared.clock.now()),
         }
     }
 
     /// The attempt is proved not to run: claims for another endpoint, or gives the claim up.
-    async fn move_on(&mut self, code: Code) -> Do {
+    async fn move_on(&mut self, code: Code) -> Action {
         let is_over = self.parsed.deadline <= self.shared.clock.now();
         if self.attempts >= MAX_MOVES || is_over {
             return self.run.release(code);
         }
-        let tried = [self.run.mine().agent.clone()];
+        let tried = [self.run.attempt().agent.clone()];
         match router::acquire(self.shared, self.parsed, &tried, true).await {
             Ok(lease) => {
                 let to = lease.to.clone();
                 self.lease = Some(lease);
-                self.run.move_to(to)
+                self.run.reassign(to)
             }
             Err(refused) => self.run.release(refused.code),
         }
--- a/node/src/entry/dispatch.rs
+++ b/node/src/entry/dispatch.rs
@@ -10,15 +10,15 @@
 use mastichaven_core::ids::Attempt;
 use mastichaven_core::ids::Digest;
 use mastichaven_core::quarantine::Crash;
-use mastichaven_core::quarantine::Verdict;
+use mastichaven_core::quarantine::RunPolicy;
 use mastichaven_core::route::Ended;
-use mastichaven_core::run::RunAsk;
+use mastichaven_core::run::FullResponse;
 use mastichaven_core::run::RunFrame;
-use mastichaven_core::run::VoidAsk;
+use mastichaven_core::run::RunRequest;
 use mastichaven_core::run::VoidReply;
-use mastichaven_core::run::WholeAnswer;
-use mastichaven_core::stream::FrameOrder;
-use mastichaven_core::stream::Taken;
+use mastichaven_core::run::VoidRequest;
+use mastichaven_core::stream::FrameContent;
+use mastichaven_core::stream::FrameSequencer;
 use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::ReplyBody;
 use smol_str::SmolStr;
@@ -70,7 +70,7 @@
     /// Content type.
     pub(super) content_type: SmolStr,
     call: Call,
-    order: FrameOrder,
+    order: FrameSequencer,
     patience: Duration,
     lease: Lease,
     /// What the request is known by, should it crash its endpoint.
@@ -96,19 +96,19 @@
         return Err(Code::DeadlineBeforeRun.into());
     }
     let mut ask = run_ask(parsed, &lease.to, attempt, resume_after, left);
-    ask.alone = match shared.suspects.verdict(shared, parsed) {
-        Verdict::Free => false,
-        Verdict::Alone => true,
-        Verdict::Refused => return Err(Code::Quarantined.into()),
+    ask.exclusive = match shared.suspects.verdict(shared, parsed) {
+        RunPolicy::Shared => false,
+        RunPolicy::Exclusive => true,
+        RunPolicy::Refused => return Err(Code::Quarantined.into()),
     };
-    let (request, alone) = (parsed.digest(), ask.alone);
+    let (request, alone) = (parsed.digest(), ask.exclusive);
     let patience = Duration::from_millis(limits.between_bytes_ms) + AGENT_SLACK;
     let first_byte = Duration::from_millis(limits.first_byte_ms) + AGENT_SLACK;
     let wait = if parsed.idempotent { left.min(first_byte) } else { left };
     shared.telemetry.count(Counter::AttemptsSent);
     parsed.sent.add();
     let call = shared.transport.call(lease.to.address, &shared.ask(AskBody::Run(ask)));
-    let order = FrameOrder::new(attempt);
+    let order = FrameSequencer::new(attempt);
     let (status, content_type) = (0, SmolStr::default());
     let mut opening = Opened { status, content_type, call, order, patience, lease, request, alone };
     let head = timeout(wait, opening.head()).await;
@@ -126,8 +126,8 @@
     attempt: Attempt,
     resume_after: u64,
     left: Duration,
-) -> RunAsk {
-    RunAsk {
+) -> RunRequest {
+    RunRequest {
         request: to.request,
         attempt,
         service: parsed.service.clone(),
@@ -138,8 +138,8 @@
         priority: parsed.priority,
         deadline_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
         idempotent: parsed.idempotent,
-        alone: false,
-        keep: !parsed.idempotent,
+        exclusive: false,
+        keep_response: !parsed.idempotent,
         resume_after,
         method: parsed.method.clone(),
         path: parsed.path.clone(),
@@ -160,7 +160,7 @@
                     return Ok(());
                 }
                 frame => {
-                    if self.order.take(frame)? != Taken::Dropped {
+                    if self.order.accept(frame)? != FrameContent::Dropped {
                         return Err(Code::Truncated.into());
                     }
                 }
@@ -176,8 +176,8 @@
                 self.lease.refused();
             }
             RunFrame::End { load, .. } => self.lease.report(*load),
-            RunFrame::Failed { crashed: true, beside, .. } => {
-                let crash = Crash { request: self.request, beside: *beside };
+            RunFrame::Failed { crashed: true, concurrent, .. } => {
+                let crash = Crash { request: self.request, concurrent: *concurrent };
                 suspects::crashed(self.lease.shared(), crash);
             }
             _ => {}
@@ -209,22 +209,22 @@
             let frame = timeout(self.patience, self.frame())
                 .await
                 .unwrap_or(Err(Code::DeadlineDuringRun.into()))?;
-            match self.order.take(frame)? {
-                Taken::Bytes(bytes) => return Ok(Some(bytes)),
-                Taken::End => {
+            match self.order.accept(frame)? {
+                FrameContent::Bytes(bytes) => return Ok(Some(bytes)),
+                FrameContent::End => {
                     self.lease.set_ended(Ended::Answered);
                     if self.alone {
                         self.lease.shared().suspects.came_through(self.request);
                     }
                     return Ok(None);
                 }
-                Taken::Dropped => {}
+                FrameContent::Dropped => {}
             }
         }
     }
 
     /// The whole answer, so that its status goes out only when all of it is here.
-    pub(super) async fn gather(mut self) -> Result<WholeAnswer> {
+    pub(super) async fn gather(mut self) -> Result<FullResponse> {
         let mut body = BytesMut::new();
         while let Some(bytes) = self.next().await? {
             if body.len() + bytes.len() > MAX_WHOLE_LEN {
@@ -232,7 +232,7 @@
             }
             body.extend_from_slice(&bytes);
         }
-        Ok(WholeAnswer {
+        Ok(FullResponse {
             status: self.status,
             content_type: self.content_type,
             body: body.freeze(),
@@ -259,14 +259,14 @@
     parsed: &Parsed,
     lease: Lease,
     attempt: Attempt,
-) -> Result<WholeAnswer> {
+) -> Result<FullResponse> {
     open(shared, parsed, lease, attempt, 0).await?.gather().await
 }
 
 /// Asks the agent life that an attempt went to what became of it; one that has not started never
 /// will. `None` when the agent cannot be reached.
 pub(super) async fn void(shared: &Shared, to: &Dispatch) -> Option<VoidReply> {
-    let ask = VoidAsk { request: to.request, incarnation: to.incarnation };
+    let ask = VoidRequest { request: to.request, incarnation: to.incarnation };
     let mut call = shared.transport.call(to.address, &shared.ask(AskBody::Void(ask)));
     match timeout(VOID_TIMEOUT, call.next()).await {
         Ok(Some(Ok(reply))) => match reply.body {
--- a/node/src/entry/requests.rs
+++ b/node/src/entry/requests.rs
@@ -12,8 +12,8 @@
 use mastichaven_core::Outcome;
 use mastichaven_core::ids::Attempt;
 use mastichaven_core::ids::HostName;
+use mastichaven_core::run::FullResponse;
 use mastichaven_core::run::VoidReply;
-use mastichaven_core::run::WholeAnswer;
 use tokio::time::timeout;
 
 use super::Shared;
@@ -146,7 +146,7 @@
     refusal
 }
 
-async fn unrepeatable(shared: &Arc<Shared>, parsed: &Parsed) -> Result<WholeAnswer, Refusal> {
+async fn unrepeatable(shared: &Arc<Shared>, parsed: &Parsed) -> Result<FullResponse, Refusal> {
     let Some(key) = &parsed.key else {
         return Ok(once(shared, parsed).await?);
     };
@@ -159,7 +159,7 @@
 
 /// Runs a request without a key: it is sent again only after the earlier attempt is proved not to
 /// run.
-async fn once(shared: &Arc<Shared>, parsed: &Parsed) -> Result<WholeAnswer, Refused> {
+async fn once(shared: &Arc<Shared>, parsed: &Parsed) -> Result<FullResponse, Refused> {
     let mut tries = Tries::default();
     loop {
         let lease = tries.next(shared, parsed).await?;
--- a/node/src/entry/suspects.rs
+++ b/node/src/entry/suspects.rs
@@ -8,7 +8,7 @@
 use mastichaven_core::platform::HostRole;
 use mastichaven_core::quarantine::Crash;
 use mastichaven_core::quarantine::Quarantine;
-use mastichaven_core::quarantine::Verdict;
+use mastichaven_core::quarantine::RunPolicy;
 use mastichaven_core::wire::AskBody;
 use slog::warn;
 
@@ -28,22 +28,22 @@
     /// Notes a crash that another entry tells of.
     pub(super) fn told(&self, shared: &Shared, crash: Crash) {
         let mut quarantine = self.quarantine.lock().expect("no holder of this lock panics");
-        quarantine.crashed(crash, shared.clock.now());
+        quarantine.record_crash(crash, shared.clock.now());
     }
 
     /// How `parsed` may run.
-    pub(super) fn verdict(&self, shared: &Shared, parsed: &Parsed) -> Verdict {
+    pub(super) fn verdict(&self, shared: &Shared, parsed: &Parsed) -> RunPolicy {
         let quarantine = self.quarantine.lock().expect("no holder of this lock panics");
         if quarantine.is_empty() {
-            return Verdict::Free;
+            return RunPolicy::Shared;
         }
         let millis = shared.documents.in_force().config.limits.quarantine_ms;
-        quarantine.verdict(parsed.digest(), Duration::from_millis(millis), shared.clock.now())
+        quarantine.policy(parsed.digest(), Duration::from_millis(millis), shared.clock.now())
     }
 
     /// A request that ran alone has ended whole.
     pub(super) fn came_through(&self, request: Digest) {
-        self.quarantine.lock().expect("no holder of this lock panics").came_through(request);
+        self.quarantine.lock().expect("no holder of this lock panics").clear(request);
     }
 }
 
@@ -51,7 +51,7 @@
 /// its caller can send it through one of them again.
 pub(super) fn crashed(shared: &Arc<Shared>, crash: Crash) {
     warn!(shared.telemetry.log, "endpoint crashed under a request";
-        "request" => crash.request.to_string(), "beside" => crash.beside);
+        "request" => crash.request.to_string(), "beside" => crash.concurrent);
     shared.suspects.told(shared, crash);
     for member in shared.members().iter() {
         if member.role != HostRole::Entry || member.host == shared.settings.place.host {
--- a/node/tests/requests/silence.rs
+++ b/node/tests/requests/silence.rs
@@ -6,7 +6,7 @@
 use mastichaven_core::Code;
 use mastichaven_core::ids::Incarnation;
 use mastichaven_core::ids::RequestId;
-use mastichaven_core::run::VoidAsk;
+use mastichaven_core::run::VoidRequest;
 use mastichaven_core::wire::Ask;
 use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
@@ -47,7 +47,7 @@
     });
     let from = Sender { host: "asker".into(), ..Sender::default() };
     // Control has connections of its own, on which each ask has a short timeout instead.
-    let void = VoidAsk { request: RequestId::default(), incarnation: Incarnation::default() };
+    let void = VoidRequest { request: RequestId::default(), incarnation: Incarnation::default() };
     Pair { asker, way, ask: Ask { from, body: AskBody::Void(void) } }
 }
 
--- a/node/tests/shell/tls.rs
+++ b/node/tests/shell/tls.rs
@@ -6,8 +6,8 @@
 
 use mastichaven_core::Code;
 use mastichaven_core::members::MembersAsk;
-use mastichaven_core::relay::RelayAsk;
 use mastichaven_core::relay::RelayReply;
+use mastichaven_core::relay::RelayRequest;
 use mastichaven_core::wire::Ask;
 use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
@@ -35,7 +35,7 @@
     let transport = Transport::start(ANY.parse().unwrap(), material, tx).unwrap();
     thread::spawn(move || {
         for incoming in rx {
-            let body = ReplyBody::Relay(RelayReply::Down);
+            let body = ReplyBody::Relay(RelayReply::Unavailable);
             let _ = incoming.replies.send(Reply { generation: Default::default(), body });
         }
     });
@@ -48,7 +48,7 @@
 }
 
 fn relay() -> AskBody {
-    AskBody::Relay(RelayAsk::Get("config/accepted".into()))
+    AskBody::Relay(RelayRequest::Get("config/accepted".into()))
 }
 
 fn refused(reply: Result<Reply, Code>) -> bool {
@@ -61,7 +61,7 @@
     let server = transport(&material(&ca, "entry-1", Role::Entry, 1));
     let client = transport(&material(&ca, "entry-2", Role::Entry, 1));
     let reply = ask(&client, server.local_addr(), "entry-2", relay()).unwrap();
-    assert_eq!(reply.body, ReplyBody::Relay(RelayReply::Down));
+    assert_eq!(reply.body, ReplyBody::Relay(RelayReply::Unavailable));
 }
 
 #[test]
