--- a/bench/src/member_net.rs
+++ b/bench/src/member_net.rs
@@ -16,9 +16,9 @@
 use mastichaven_core::members::MembersAsk;
 use mastichaven_core::members::MembersReply;
 use mastichaven_core::members::Serving;
+use mastichaven_core::membership::GossipConfig;
 use mastichaven_core::membership::Membership;
-use mastichaven_core::membership::Send;
-use mastichaven_core::membership::Terms;
+use mastichaven_core::membership::OutboundMessage;
 use mastichaven_core::platform::HostRole;
 use mastichaven_core::run::Load;
 use mastichaven_core::wire;
@@ -76,7 +76,7 @@
     pub now: Time,
     /// Share of messages lost, each way.
     pub loss: f64,
-    terms: Terms,
+    config: GossipConfig,
     rng: ChaCha8Rng,
     events: BinaryHeap<Reverse<(Time, u64)>>,
     bodies: HashMap<u64, Event>,
@@ -92,7 +92,7 @@
             nodes: Vec::new(),
             now: Time::from_millis(1),
             loss: 0.0,
-            terms: Terms::default(),
+            config: GossipConfig::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             events: BinaryHeap::new(),
             bodies: HashMap::new(),
@@ -112,7 +112,7 @@
         self.by_address.insert(member.address, index);
         self.nodes.push(Node {
             host: member.host.clone(),
-            membership: Membership::new(member, seeds, self.terms),
+            membership: Membership::new(member, seeds, self.config),
             sent: 0,
             paused_until: Time::ZERO,
             up: true,
@@ -138,7 +138,7 @@
         let seeds = (0..3).map(|n| address(n * 4)).collect();
         let member = member(index, zones, life);
         let node = &mut self.nodes[index];
-        node.membership = Membership::new(member, seeds, self.terms);
+        node.membership = Membership::new(member, seeds, self.config);
         node.up = true;
         node.next_tick = self.now;
     }
@@ -187,7 +187,7 @@
     /// Whether every running process knows exactly the running processes.
     pub fn agrees(&self) -> bool {
         let running = self.nodes.iter().filter(|node| node.up).count();
-        self.nodes.iter().filter(|node| node.up).all(|n| n.membership.alive() + 1 == running)
+        self.nodes.iter().filter(|node| node.up).all(|n| n.membership.alive_count() + 1 == running)
     }
 
     /// Bytes sent by all processes so far.
@@ -213,13 +213,13 @@
             transit += again;
             again *= 2;
         }
-        (transit < self.terms.timeout).then_some(transit)
+        (transit < self.config.heartbeat_timeout).then_some(transit)
     }
 
-    fn send_all(&mut self, from: usize, sends: Vec<Send>) {
-        for Send { to, token, ask } in sends {
+    fn send_all(&mut self, from: usize, sends: Vec<OutboundMessage>) {
+        for OutboundMessage { to, token, ask } in sends {
             self.nodes[from].sent += self.ask_bytes(from, &ask);
-            let late = self.now + self.terms.timeout;
+            let late = self.now + self.config.heartbeat_timeout;
             self.push(late, Event::Late { to: from, token });
             let Some(&to) = self.by_address.get(&to) else {
                 continue;
@@ -265,13 +265,14 @@
     }
 
     fn take_ask(&mut self, from: usize, to: usize, token: u64, ask: MembersAsk) {
-        if let MembersAsk::ProbeFor(address) = ask {
+        if let MembersAsk::IndirectProbe(address) = ask {
             let target = self.by_address.get(&address).copied();
             let reached = target.is_some_and(|target| {
                 let runs = self.nodes[target].up && self.nodes[target].paused_until <= self.now;
                 runs && self.transit(to, target).is_some() && self.transit(target, to).is_some()
             });
-            let wait = if reached { Duration::from_millis(5) } else { self.terms.timeout };
+            let wait =
+                if reached { Duration::from_millis(5) } else { self.config.heartbeat_timeout };
             let event = Event::Helped { helper: to, asker: from, token, reached };
             return self.push(self.now + wait, event);
         }
--- a/core/src/members.rs
+++ b/core/src/members.rs
@@ -1,6 +1,4 @@
-//! Membership: who is alive and what it serves, as the processes tell each other.
-//!
-//! The messages; [`crate::membership`] decides with them.
+//! Messages of the membership protocol, which [`crate::membership`] implements.
 
 use std::net::SocketAddr;
 
@@ -18,33 +16,33 @@
 use crate::platform::HostRole;
 use crate::run::Load;
 
-/// What an agent's endpoint can answer at present.
+/// What an agent's endpoint serves at present.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Serving {
     /// Nothing: no engine, no verified version, or closed.
     Nothing,
     /// A model at one verified version.
     Model {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
         /// Digest of the manifest that the engine has loaded.
         version: Digest,
-        /// The engine's life.
+        /// Start id that the engine reports; it changes with each restart.
         start: StartId,
     },
     /// A plain service.
     Plain {
-        /// The service.
+        /// Name of the service.
         service: ServiceName,
-        /// The endpoint's life.
+        /// Start id that the endpoint reports; it changes with each restart.
         start: StartId,
     },
 }
 
-/// What stands beside a process.
+/// Kind of endpoint that a process manages.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum EndpointKind {
-    /// Nothing: the process is an entry.
+    /// No endpoint: the process is an entry.
     None,
     /// A model engine.
     Engine,
@@ -52,123 +50,124 @@
     Plain(ServiceName),
 }
 
-/// What a process says of itself.
+/// A process as it announces itself.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Member {
-    /// Its host.
+    /// Host on which the process runs; identifies the member.
     pub host: HostName,
-    /// What it runs.
+    /// Role of the process.
     pub role: HostRole,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Its region.
+    /// Region of the availability zone.
     pub region: RegionName,
-    /// Where peers reach it.
+    /// Address on which it receives messages from peers.
     pub address: SocketAddr,
-    /// Its life.
+    /// Incarnation of the process; higher after each restart.
     pub incarnation: Incarnation,
-    /// Whether it is leaving: it finishes what it has and takes nothing new.
+    /// Whether it is draining: it finishes requests in flight and accepts no new ones.
     pub leaving: bool,
-    /// What stands beside it.
+    /// Kind of its endpoint.
     pub endpoint: EndpointKind,
-    /// Memory of its engine, in MiB; 0 when it does not say.
+    /// Memory of its engine in MiB; 0 if unknown.
     pub memory_mib: u64,
-    /// What its endpoint serves; `Nothing` for entries.
+    /// What its endpoint serves; [`Serving::Nothing`] for entries.
     pub serving: Serving,
-    /// Its endpoint's load when this was said.
+    /// Load of its endpoint at the time of the announcement.
     pub load: Load,
 }
 
-/// Which statement of a process is the later one: its life, then a count within that life.
+/// Orders the announcements of one process: by incarnation, then by sequence.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Stamp {
-    /// The process's life.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Rises when the process changes what it says of itself, or refutes a suspicion.
+    /// Incremented when the process changes its announcement or refutes a suspicion.
     pub sequence: u32,
 }
 
-/// What others think of a process; a later one of the same [`Stamp`] overrules an earlier one.
+/// Health of a member. For the same [`Stamp`], a greater variant overrides a smaller one.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Health {
-    /// It answers.
+    /// Answers heartbeats, or has announced itself.
     Alive,
-    /// It did not answer, directly or by way of others. It may refute that.
+    /// Answered neither a heartbeat nor indirect probes. It may refute the suspicion.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// Did not refute the suspicion in time.
     Dead,
-    /// It said that it ended.
+    /// Announced its own end.
     Left,
 }
 
-/// Something new about a member.
+/// A change of one member, disseminated by gossip.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum News {
-    /// What a member says of itself.
-    Here {
-        /// The member.
+pub enum MemberUpdate {
+    /// A member announces itself or a change of itself.
+    Announcement {
+        /// The member as announced.
         member: Box<Member>,
-        /// Counts what it says within its life.
+        /// Sequence of the announcement within the incarnation.
         sequence: u32,
     },
-    /// What others, or it itself at its end, say of it.
-    Verdict {
-        /// The member's host.
+    /// Health of a member as reported by others, or by itself when it leaves.
+    HealthReport {
+        /// Host of the member.
         host: HostName,
-        /// Which of its statements the verdict is about.
+        /// The announcement that the report refers to; a later announcement overrides the report.
         stamp: Stamp,
-        /// The verdict.
+        /// Reported health.
         health: Health,
     },
 }
 
-/// A heartbeat, and its answer.
+/// A heartbeat or the answer to one.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Hello {
-    /// The host of the answering process; empty in an ask, whose sender is named anyway.
+pub struct Heartbeat {
+    /// Host of the answering process; empty in a request, where [`crate::wire::Sender`] names it.
     pub host: HostName,
-    /// The sender's sequence; its life is in the message's sender.
+    /// The sender's latest stamp.
     pub stamp: Stamp,
-    /// Its endpoint's load.
+    /// Load of the sender's endpoint.
     pub load: Load,
-    /// [`crate::spread::Docs::fingerprint`] of its plans.
-    pub docs: u64,
-    /// Fingerprint of who it thinks is alive.
-    pub view: u64,
-    /// Fingerprint of what those say of themselves; 0 from an agent, which is not told all of it.
-    pub detail: u64,
-    /// Whether the receiver shall say who it is.
-    pub who: bool,
-    /// News, as much as fits.
-    pub news: Vec<News>,
+    /// Fingerprint of the sender's plans, [`crate::spread::Docs::fingerprint`].
+    pub plans_fingerprint: u64,
+    /// Fingerprint of the members in the sender's view that are neither dead nor left.
+    pub view_fingerprint: u64,
+    /// Fingerprint of the announcements of those members; 0 from an agent, which does not receive
+    /// all announcements.
+    pub members_fingerprint: u64,
+    /// Whether the sender lacks the latest announcement of the receiver.
+    pub wants_announcement: bool,
+    /// Piggybacked updates.
+    pub updates: Vec<MemberUpdate>,
 }
 
-/// A heartbeat or probe.
+/// A request of the membership protocol.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum MembersAsk {
-    /// Asks the process what it is.
+    /// Asks the receiver for its [`Member`].
     Probe,
-    /// A heartbeat.
-    Hello(Hello),
-    /// Asks the receiver to probe another process, which the asker does not reach.
-    ProbeFor(SocketAddr),
-    /// Asks for all members but those whose fingerprints are given.
+    /// A regular heartbeat, or first contact with an unknown address.
+    Heartbeat(Heartbeat),
+    /// Asks the receiver to probe a process that did not answer the sender.
+    IndirectProbe(SocketAddr),
+    /// Asks for all updates that a process with these member fingerprints lacks.
     Sync(Vec<u64>),
-    /// An entry tells an agent that the platform lists its host as leaving, or no longer.
-    HostLeaves(bool),
+    /// Sent by an entry to an agent: whether the platform lists the agent's host as leaving.
+    HostLeaving(bool),
 }
 
 /// Answer to a [`MembersAsk`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum MembersReply {
-    /// What the process says of itself.
-    Me(Member),
-    /// Answer to a heartbeat.
-    Hello(Hello),
-    /// Whether the probed process answered.
+    /// Answer to [`MembersAsk::Probe`].
+    Member(Member),
+    /// Answer to [`MembersAsk::Heartbeat`].
+    Heartbeat(Heartbeat),
+    /// Answer to [`MembersAsk::IndirectProbe`]: whether the probed process answered.
     Reached(bool),
-    /// The members asked for.
-    News(Vec<News>),
-    /// It is noted.
-    Noted,
+    /// Answer to [`MembersAsk::Sync`].
+    Updates(Vec<MemberUpdate>),
+    /// Answer to [`MembersAsk::HostLeaving`].
+    Ack,
 }
--- a/core/src/membership.rs
+++ b/core/src/membership.rs
@@ -1,15 +1,17 @@
-//! Who is alive, as one process sees it.
+//! Gossip membership: which processes are alive, from the point of view of one process.
 //!
-//! Heartbeats go to a few stable neighbours ([`crate::ring`]). One that does not answer is probed
-//! by way of others, then suspected, and dead only when it does not refute that in time. News is
-//! passed on a few times with the heartbeats, within a budget of bytes; what that misses, views
-//! that differ for a while make good by an exchange. The platform's list is only a hint of whom
-//! to greet.
+//! A process sends heartbeats to a few stable neighbours ([`crate::ring`]). A neighbour that does
+//! not answer is probed through other members, then suspected, and declared dead if it does not
+//! refute the suspicion in time. Updates are piggybacked on heartbeats within a byte budget.
+//! Updates that are lost are recovered by anti-entropy between members whose views stay different.
+//! The platform's host list only supplies addresses to contact.
 //!
-//! What goes wrong without these: a process paused for a moment would be declared dead (it may
-//! refute); one that is itself paused or cut off would declare everybody else dead (a late
-//! [`Membership::tick`] and [`Terms::isolation`] keep it quiet); a host that comes and goes would
-//! move plans each time (flapping members are kept back).
+//! - Refutation keeps a process that was paused briefly from being declared dead.
+//! - A process that was paused itself (a late [`Membership::tick`]) or is cut off
+//!   ([`GossipConfig::isolation_timeout`]) declares nobody dead; it would otherwise declare
+//!   everybody dead.
+//! - Flapping members are left out of [`Membership::members`], because each return of a host would
+//!   otherwise change the placement plans.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -20,102 +22,112 @@
 use rand::Rng;
 use rand::RngExt;
 
-use self::news::detail;
+use self::gossip::member_fingerprint;
 use crate::ids::HostName;
 use crate::members::Health;
-use crate::members::Hello;
+use crate::members::Heartbeat;
 use crate::members::Member;
+use crate::members::MemberUpdate;
 use crate::members::MembersAsk;
 use crate::members::MembersReply;
-use crate::members::News;
 use crate::members::Stamp;
 use crate::platform::HostRole;
 use crate::ring;
 use crate::run::Load;
 use crate::time::Time;
 
-mod news;
-mod verdict;
+mod failure_detector;
+mod gossip;
 
-/// Members one process keeps at most.
+/// Maximum number of peers that one process tracks.
 pub const MAX_MEMBERS: usize = 16_384;
 
-/// News in one heartbeat at most.
-const MAX_NEWS: usize = 12;
+/// Maximum number of queued updates in one heartbeat.
+const MAX_UPDATES_PER_HEARTBEAT: usize = 12;
 
-/// News waiting to be passed on at most; what is dropped is made good by an exchange.
-const MAX_QUEUE: usize = 4_096;
+/// Maximum number of queued updates. Updates dropped beyond it are recovered by anti-entropy.
+const MAX_QUEUED_UPDATES: usize = 4_096;
 
-/// Others that are asked to probe a silent member.
-const HELPERS: usize = 3;
+/// Number of members asked to probe a member that missed a heartbeat.
+const INDIRECT_PROBES_PER_MEMBER: usize = 3;
 
-/// Bytes of one heartbeat with its answer and of one piece of news, for the budget, and what may
-/// be saved up for a burst.
-const HELLO_BYTES: f64 = 320.0;
-const NEWS_BYTES: f64 = 110.0;
-const BURST_BYTES: f64 = 16_000.0;
+/// Estimated size of a heartbeat and its answer, charged to the gossip budget.
+const HEARTBEAT_BYTES: f64 = 320.0;
 
-/// Returns from the dead that count as flapping, and the time after which half is forgotten.
-const FLAP_LIMIT: f64 = 2.5;
-const FLAP_HALF_LIFE: Duration = Duration::from_secs(60);
+/// Estimated size of one update, charged to the gossip budget.
+const UPDATE_BYTES: f64 = 110.0;
 
-/// Heartbeats in a row with another view before members are exchanged.
-const DIFFERENT_VIEWS: u32 = 2;
+/// Maximum unused gossip budget that may accumulate for a burst.
+const MAX_GOSSIP_BURST_BYTES: f64 = 16_000.0;
 
-/// An exchange of members begins with this many bytes for each that is known, so exchanges are
-/// further apart the more are known.
-const SYNC_BYTES: usize = 8;
-const SYNC_BYTES_A_SECOND: f64 = 400.0;
+/// Flap score from which a member is left out of [`Membership::members`]. Each return of a dead or
+/// restarted member adds 1 to its score.
+const MAX_FLAP_SCORE: f64 = 2.5;
+
+/// Time after which a flap score has decayed to half.
+const FLAP_SCORE_HALF_LIFE: Duration = Duration::from_secs(60);
+
+/// Consecutive heartbeats with a different view that start an anti-entropy exchange.
+const MIN_VIEW_MISMATCHES: u32 = 2;
+
+/// Size of the fingerprint of one member in a sync request.
+const SYNC_BYTES_PER_MEMBER: usize = 8;
+
+/// Maximum rate of fingerprints in sync requests. It lengthens the interval between syncs as the
+/// number of members grows.
+const MAX_SYNC_BYTES_PER_SECOND: f64 = 400.0;
+
+/// Minimum time between two syncs that this process starts.
 const MIN_SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A process looks for others often for this long.
-const YOUNG: Duration = Duration::from_secs(20);
+/// Time after the start during which a process contacts unknown addresses at a higher rate.
+const DISCOVERY_PERIOD: Duration = Duration::from_secs(20);
 
-/// Times of the membership protocol.
+/// Timing and bandwidth of the gossip protocol.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
-    /// Between two heartbeats of this process, each to the next neighbour.
-    pub interval: Duration,
-    /// Between two heartbeats while there is news.
-    pub news_interval: Duration,
-    /// How long a heartbeat may stay unanswered.
-    pub timeout: Duration,
-    /// How long a suspicion may be refuted.
-    pub suspicion: Duration,
-    /// Without any answer for this long, this process counts itself as cut off and declares
-    /// nobody dead.
-    pub isolation: Duration,
-    /// A tick that comes this late means that this process was paused.
-    pub pause: Duration,
-    /// How long the dead are remembered, and greeted now and then in case they are back.
-    pub remembered: Duration,
-    /// Bytes a second for news, on average.
-    pub budget: f64,
+pub struct GossipConfig {
+    /// Interval between regular heartbeats; each goes to the next neighbour in turn.
+    pub heartbeat_interval: Duration,
+    /// Interval between heartbeats while updates are queued.
+    pub update_interval: Duration,
+    /// Time to wait for the answer to a heartbeat.
+    pub heartbeat_timeout: Duration,
+    /// Time that a suspected member has to refute the suspicion.
+    pub suspicion_timeout: Duration,
+    /// Time without any answer after which this process considers itself cut off. It then
+    /// suspects nobody and declares nobody dead.
+    pub isolation_timeout: Duration,
+    /// Time between two ticks from which this process considers itself to have been paused.
+    pub pause_threshold: Duration,
+    /// Time for which a dead member is kept and contacted now and then in case it is back.
+    pub dead_member_ttl: Duration,
+    /// Average rate of bytes spent on updates.
+    pub gossip_bytes_per_second: f64,
 }
 
-impl Default for Terms {
+impl Default for GossipConfig {
     fn default() -> Self {
-        Terms {
-            interval: Duration::from_millis(500),
-            news_interval: Duration::from_millis(200),
-            timeout: Duration::from_millis(1_000),
-            suspicion: Duration::from_secs(4),
-            isolation: Duration::from_secs(3),
-            pause: Duration::from_millis(1_500),
-            remembered: Duration::from_secs(3_600),
-            budget: 1_000.0,
+        GossipConfig {
+            heartbeat_interval: Duration::from_millis(500),
+            update_interval: Duration::from_millis(200),
+            heartbeat_timeout: Duration::from_millis(1_000),
+            suspicion_timeout: Duration::from_secs(4),
+            isolation_timeout: Duration::from_secs(3),
+            pause_threshold: Duration::from_millis(1_500),
+            dead_member_ttl: Duration::from_secs(3_600),
+            gossip_bytes_per_second: 1_000.0,
         }
     }
 }
 
-/// A message to send; its answer goes to [`Membership::on_reply`].
+/// A message to send. Its answer, or the lack of one, goes to [`Membership::on_reply`].
 #[derive(Clone, Debug, PartialEq)]
-pub struct Send {
-    /// Where to.
+pub struct OutboundMessage {
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// Names the answer.
+    /// Correlates the answer with this message.
     pub token: u64,
-    /// The message.
+    /// Body of the message.
     pub ask: MembersAsk,
 }
 
@@ -124,12 +136,12 @@
     member: Member,
     sequence: u32,
     health: Health,
-    since: Time,
-    flaps: f64,
-    flapped: Time,
-    differing: u32,
-    /// The latest statement it is known to have made.
-    heard: Stamp,
+    health_since: Time,
+    flap_score: f64,
+    last_flap: Time,
+    view_mismatches: u32,
+    /// The latest stamp known from the member itself; it may be ahead of `sequence`.
+    latest_stamp: Stamp,
 }
 
 impl Peer {
@@ -137,351 +149,375 @@
         Stamp { incarnation: self.member.incarnation, sequence: self.sequence }
     }
 
-    fn detail(&self) -> u64 {
-        detail(&self.member.host, self.stamp())
+    fn fingerprint(&self) -> u64 {
+        member_fingerprint(&self.member.host, self.stamp())
     }
 
     fn is_gone(&self) -> bool {
         self.health >= Health::Dead
     }
 
-    fn flaps_at(&self, now: Time) -> f64 {
-        let halves = now.since(self.flapped).as_secs_f64() / FLAP_HALF_LIFE.as_secs_f64();
-        self.flaps * 0.5_f64.powf(halves)
+    fn flap_score_at(&self, now: Time) -> f64 {
+        let halves = now.since(self.last_flap).as_secs_f64() / FLAP_SCORE_HALF_LIFE.as_secs_f64();
+        self.flap_score * 0.5_f64.powf(halves)
     }
 }
 
-/// News and the neighbours that are still to hear it: each once, those it came from not at all.
+/// An update and the neighbours that have not yet acknowledged it. Processes that sent the update
+/// are not among them.
 #[derive(Clone, Debug)]
-struct Queued {
+struct QueuedUpdate {
     id: u64,
-    news: News,
-    to: Vec<HostName>,
+    update: MemberUpdate,
+    pending: Vec<HostName>,
 }
 
 #[derive(Clone, Debug)]
-enum Waiting {
-    Hello { host: HostName, told: Vec<u64> },
-    Greeting,
-    Help { host: HostName, stamp: Stamp },
+enum InFlight {
+    Heartbeat { host: HostName, update_ids: Vec<u64> },
+    Announcement,
+    IndirectProbe { host: HostName, stamp: Stamp },
     Sync,
 }
 
-/// Answers of helpers about one silent member.
+/// Indirect probes of one member that are still unanswered.
 #[derive(Clone, Debug)]
-struct Helped {
-    left: usize,
+struct IndirectProbes {
+    remaining: usize,
 }
 
-/// The membership as one process sees it.
+/// The view of the membership that one process has.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    terms: Terms,
-    me: Member,
+    config: GossipConfig,
+    local: Member,
     sequence: u32,
-    ended: bool,
+    has_left: bool,
     peers: BTreeMap<HostName, Peer>,
-    /// Addresses to greet: seeds and the platform's list.
-    hints: Vec<SocketAddr>,
-    queue: Vec<Queued>,
-    waiting: HashMap<u64, Waiting>,
-    helped: HashMap<HostName, Helped>,
+    /// Addresses to contact: seeds, then addresses from the platform's host list.
+    contacts: Vec<SocketAddr>,
+    update_queue: Vec<QueuedUpdate>,
+    in_flight: HashMap<u64, InFlight>,
+    indirect_probes: HashMap<HostName, IndirectProbes>,
     neighbours: Vec<HostName>,
-    neighbours_stale: bool,
+    are_neighbours_stale: bool,
     cursor: usize,
     next_token: u64,
-    next_news: u64,
-    next_hello: Time,
-    next_beat: Time,
-    next_greeting: Time,
+    next_update_id: u64,
+    next_update_heartbeat: Time,
+    next_heartbeat: Time,
+    next_discovery: Time,
     next_sync: Time,
     first_tick: Time,
     last_tick: Time,
     last_answer: Time,
-    budget: f64,
-    docs: u64,
-    view: u64,
-    detail: u64,
+    byte_budget: f64,
+    plans_fingerprint: u64,
+    view_fingerprint: u64,
+    members_fingerprint: u64,
     version: u64,
-    changed: Time,
+    last_change: Time,
 }
 
 impl Membership {
-    /// A process that knows only itself and whom to greet.
-    pub fn new(me: Member, seeds: Vec<SocketAddr>, terms: Terms) -> Membership {
+    /// Creates a view that holds only `local`; `seeds` are the first addresses to contact.
+    pub fn new(local: Member, seeds: Vec<SocketAddr>, config: GossipConfig) -> Membership {
         Membership {
-            terms,
-            me,
+            config,
+            local,
             sequence: 0,
-            ended: false,
+            has_left: false,
             peers: BTreeMap::new(),
-            hints: seeds,
-            queue: Vec::new(),
-            waiting: HashMap::new(),
-            helped: HashMap::new(),
+            contacts: seeds,
+            update_queue: Vec::new(),
+            in_flight: HashMap::new(),
+            indirect_probes: HashMap::new(),
             neighbours: Vec::new(),
-            neighbours_stale: true,
+            are_neighbours_stale: true,
             cursor: 0,
             next_token: 0,
-            next_news: 0,
-            next_hello: Time::ZERO,
-            next_beat: Time::ZERO,
-            next_greeting: Time::ZERO,
+            next_update_id: 0,
+            next_update_heartbeat: Time::ZERO,
+            next_heartbeat: Time::ZERO,
+            next_discovery: Time::ZERO,
             next_sync: Time::ZERO,
             first_tick: Time::ZERO,
             last_tick: Time::ZERO,
             last_answer: Time::ZERO,
-            budget: BURST_BYTES,
-            docs: 0,
-            view: 0,
-            detail: 0,
+            byte_budget: MAX_GOSSIP_BURST_BYTES,
+            plans_fingerprint: 0,
+            view_fingerprint: 0,
+            members_fingerprint: 0,
             version: 0,
-            changed: Time::ZERO,
+            last_change: Time::ZERO,
         }
     }
 
-    /// Changes what this process says of itself; all but the load is passed on.
-    pub fn set_me(&mut self, member: Member) {
-        let unloaded = |member: &Member| Member { load: Load::default(), ..member.clone() };
-        if unloaded(&member) != unloaded(&self.me) {
-            let for_entries_only = member.leaving == self.me.leaving;
+    /// Replaces the local member. A change of anything but the load is gossiped.
+    pub fn set_local_member(&mut self, member: Member) {
+        let without_load = |member: &Member| Member { load: Load::default(), ..member.clone() };
+        if without_load(&member) != without_load(&self.local) {
+            let to_entries_only = member.leaving == self.local.leaving;
             self.sequence += 1;
-            self.me = member;
+            self.local = member;
             self.version += 1;
-            self.tell_me(for_entries_only);
+            self.queue_announcement(to_entries_only);
         } else {
-            self.me = member;
+            self.local = member;
         }
     }
 
-    /// Sets the fingerprint of the plans, which goes along with heartbeats.
-    pub fn set_docs(&mut self, docs: u64) {
-        self.docs = docs;
+    /// Sets the fingerprint of the plans that is sent with heartbeats.
+    pub fn set_plans_fingerprint(&mut self, fingerprint: u64) {
+        self.plans_fingerprint = fingerprint;
     }
 
-    /// Adds addresses to greet when they are not known as members.
-    pub fn hint(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
+    /// Replaces the addresses to contact. Addresses of members that are alive are left out.
+    pub fn set_contacts(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let known: HashSet<SocketAddr> =
             self.peers.values().filter(|p| !p.is_gone()).map(|p| p.member.address).collect();
-        self.hints = addresses
+        self.contacts = addresses
             .into_iter()
-            .filter(|address| *address != self.me.address && !known.contains(address))
+            .filter(|address| *address != self.local.address && !known.contains(address))
             .take(MAX_MEMBERS)
             .collect();
     }
 
-    /// Rises with each change of [`Membership::members`].
+    /// Number of changes to the view so far, not counting changes of load.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// When somebody last came, left or died.
-    pub fn changed(&self) -> Time {
-        self.changed
+    /// Time when a peer last joined, left, died or changed its address, incarnation or leaving
+    /// state.
+    pub fn last_change(&self) -> Time {
+        self.last_change
     }
 
-    /// How many others are thought alive.
-    pub fn alive(&self) -> usize {
+    /// Number of peers that are alive or suspected.
+    pub fn alive_count(&self) -> usize {
         self.peers.values().filter(|peer| !peer.is_gone()).count()
     }
 
-    /// This process and all that are thought alive, without those that come and go too often.
+    /// The local member and all peers that are alive or suspected, without flapping ones.
     pub fn members(&self, now: Time) -> Vec<Member> {
-        let calm = |peer: &&Peer| !peer.is_gone() && peer.flaps_at(now) < FLAP_LIMIT;
-        let others = self.peers.values().filter(calm).map(|peer| peer.member.clone());
-        std::iter::once(self.me.clone()).chain(others).collect()
+        let is_stable = |peer: &&Peer| !peer.is_gone() && peer.flap_score_at(now) < MAX_FLAP_SCORE;
+        let others = self.peers.values().filter(is_stable).map(|peer| peer.member.clone());
+        std::iter::once(self.local.clone()).chain(others).collect()
     }
 
-    /// What is thought of a host; `None` when it was never heard of.
+    /// Health of the member on `host`; `None` if the member is unknown or has been forgotten.
     pub fn health(&self, host: &HostName) -> Option<Health> {
         self.peers.get(host).map(|peer| peer.health)
     }
 
-    /// The hosts that this process sends heartbeats to.
+    /// Hosts to which this process sends heartbeats.
     pub fn neighbours(&mut self) -> &[HostName] {
-        if self.neighbours_stale {
-            self.neighbours_stale = false;
+        if self.are_neighbours_stale {
+            self.are_neighbours_stale = false;
             let alive: Vec<&Member> =
                 self.peers.values().filter(|p| !p.is_gone()).map(|p| &p.member).collect();
-            self.neighbours = ring::neighbours(&self.me, &alive);
-            for queued in &mut self.queue {
-                queued.to.retain(|host| self.neighbours.contains(host));
+            self.neighbours = ring::neighbours(&self.local, &alive);
+            for queued in &mut self.update_queue {
+                queued.pending.retain(|host| self.neighbours.contains(host));
             }
-            self.queue.retain(|queued| !queued.to.is_empty());
+            self.update_queue.retain(|queued| !queued.pending.is_empty());
         }
         &self.neighbours
     }
 
-    /// Does what is due at `now`. Call at least every [`Terms::news_interval`].
-    pub fn tick<R: Rng>(&mut self, now: Time, rng: &mut R) -> Vec<Send> {
+    /// Returns the messages due at `now` and expires peers. Must be called at least every
+    /// [`GossipConfig::update_interval`].
+    pub fn tick<R: Rng>(&mut self, now: Time, rng: &mut R) -> Vec<OutboundMessage> {
         if self.last_tick == Time::ZERO {
             self.first_tick = now;
         }
-        self.notice_pause(now);
-        self.bury(now);
-        let passed = now.since(self.last_tick).as_secs_f64();
-        self.budget = (self.budget + passed * self.terms.budget).min(BURST_BYTES);
+        self.reset_after_pause(now);
+        self.expire_peers(now);
+        let elapsed = now.since(self.last_tick).as_secs_f64();
+        self.byte_budget = (self.byte_budget + elapsed * self.config.gossip_bytes_per_second)
+            .min(MAX_GOSSIP_BURST_BYTES);
         self.last_tick = now;
         let mut sends = Vec::new();
-        if now >= self.next_greeting {
-            self.next_greeting = now + self.greeting_interval(now);
-            sends.extend(self.greet(rng));
+        if now >= self.next_discovery {
+            self.next_discovery = now + self.discovery_interval(now);
+            sends.extend(self.contact_unknown(rng));
         }
-        if now >= self.next_beat {
-            self.next_beat = now + self.terms.interval;
-            self.next_hello = now + self.terms.news_interval;
-            sends.extend(self.hello_to_next(false));
-        } else if now >= self.next_hello && !self.queue.is_empty() && self.budget > 0.0 {
-            self.next_hello = now + self.terms.news_interval;
-            self.budget -= HELLO_BYTES;
-            sends.extend(self.hello_to_next(true));
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = now + self.config.heartbeat_interval;
+            self.next_update_heartbeat = now + self.config.update_interval;
+            sends.extend(self.heartbeat_to_next(false));
+        } else if now >= self.next_update_heartbeat
+            && !self.update_queue.is_empty()
+            && self.byte_budget > 0.0
+        {
+            self.next_update_heartbeat = now + self.config.update_interval;
+            self.byte_budget -= HEARTBEAT_BYTES;
+            sends.extend(self.heartbeat_to_next(true));
         }
         sends
     }
 
-    /// Messages that say that this process ends; no answer is needed.
-    pub fn leave(&mut self) -> Vec<Send> {
-        self.ended = true;
-        self.me.leaving = true;
-        let news =
-            News::Verdict { host: self.me.host.clone(), stamp: self.stamp(), health: Health::Left };
-        let hello = Hello { news: vec![news], ..self.hello_frame() };
+    /// Returns messages that announce the end of this process. Their answers may be dropped.
+    pub fn leave(&mut self) -> Vec<OutboundMessage> {
+        self.has_left = true;
+        self.local.leaving = true;
+        let update = MemberUpdate::HealthReport {
+            host: self.local.host.clone(),
+            stamp: self.stamp(),
+            health: Health::Left,
+        };
+        let heartbeat = Heartbeat { updates: vec![update], ..self.base_heartbeat() };
         let hosts = self.neighbours().to_vec();
         let addresses: Vec<SocketAddr> =
             hosts.iter().filter_map(|host| Some(self.peers.get(host)?.member.address)).collect();
         addresses
             .into_iter()
-            .map(|to| self.send(to, MembersAsk::Hello(hello.clone()), Waiting::Greeting))
+            .map(|to| {
+                self.send(to, MembersAsk::Heartbeat(heartbeat.clone()), InFlight::Announcement)
+            })
             .collect()
     }
 
-    /// Answers a message of `host`. Probing for others is the caller's part.
+    /// Answers a message from `host`. The caller handles [`MembersAsk::IndirectProbe`] and
+    /// [`MembersAsk::HostLeaving`].
     pub fn on_ask(&mut self, now: Time, host: &HostName, ask: MembersAsk) -> MembersReply {
         match ask {
-            MembersAsk::Probe => MembersReply::Me(self.me.clone()),
-            MembersAsk::Hello(hello) => {
-                let tell = self.take_hello(now, host, hello);
-                let hello = self.hello_for(host, tell);
-                MembersReply::Hello(Hello { host: self.me.host.clone(), ..hello })
+            MembersAsk::Probe => MembersReply::Member(self.local.clone()),
+            MembersAsk::Heartbeat(heartbeat) => {
+                let wants_announcement = self.apply_heartbeat(now, host, heartbeat);
+                let heartbeat = self.heartbeat_for(host, wants_announcement);
+                MembersReply::Heartbeat(Heartbeat { host: self.local.host.clone(), ..heartbeat })
             }
-            MembersAsk::Sync(known) => MembersReply::News(self.unknown_to(&known)),
-            MembersAsk::ProbeFor(_) => MembersReply::Reached(false),
-            MembersAsk::HostLeaves(_) => MembersReply::Noted,
+            MembersAsk::Sync(known) => MembersReply::Updates(self.updates_missing_from(&known)),
+            MembersAsk::IndirectProbe(_) => MembersReply::Reached(false),
+            MembersAsk::HostLeaving(_) => MembersReply::Ack,
         }
     }
 
-    /// Takes in the answer to a message, `None` when there was none in time. Gives messages that
-    /// follow from it.
+    /// Handles the answer to the message with `token`, or its timeout if `reply` is `None`, and
+    /// returns the messages to send next.
     pub fn on_reply<R: Rng>(
         &mut self,
         now: Time,
         token: u64,
         reply: Option<MembersReply>,
         rng: &mut R,
-    ) -> Vec<Send> {
-        let Some(waiting) = self.waiting.remove(&token) else {
+    ) -> Vec<OutboundMessage> {
+        let Some(in_flight) = self.in_flight.remove(&token) else {
             return Vec::new();
         };
         if reply.is_some() {
             self.last_answer = now;
         }
-        match (waiting, reply) {
-            (Waiting::Hello { host, told }, Some(MembersReply::Hello(hello))) => {
-                self.helped.remove(&host);
-                self.heard(&host, |queued| told.contains(&queued.id));
+        match (in_flight, reply) {
+            (
+                InFlight::Heartbeat { host, update_ids },
+                Some(MembersReply::Heartbeat(heartbeat)),
+            ) => {
+                self.indirect_probes.remove(&host);
+                self.mark_delivered(&host, |queued| update_ids.contains(&queued.id));
                 let mut sends = Vec::new();
-                if self.take_hello(now, &host, hello) {
-                    sends.extend(self.introduce(&host));
+                if self.apply_heartbeat(now, &host, heartbeat) {
+                    sends.extend(self.announce_to(&host));
                 }
-                sends.extend(self.sync_if_different(now, &host));
+                sends.extend(self.sync_if_views_differ(now, &host));
                 sends
             }
-            (Waiting::Hello { host, .. }, _) => self.ask_helpers(now, host, rng),
-            (Waiting::Greeting, Some(MembersReply::Hello(hello))) => {
-                let host = hello.host.clone();
+            (InFlight::Heartbeat { host, .. }, _) => self.send_indirect_probes(now, host, rng),
+            (InFlight::Announcement, Some(MembersReply::Heartbeat(heartbeat))) => {
+                let host = heartbeat.host.clone();
                 let mut sends = Vec::new();
-                if self.take_hello(now, &host, hello) {
-                    sends.extend(self.introduce(&host));
+                if self.apply_heartbeat(now, &host, heartbeat) {
+                    sends.extend(self.announce_to(&host));
                 }
                 sends.extend(self.sync_with(now, &host));
                 sends
             }
-            (Waiting::Help { host, stamp }, reply) => {
+            (InFlight::IndirectProbe { host, stamp }, reply) => {
                 let reached = matches!(reply, Some(MembersReply::Reached(true)));
-                self.take_help(now, host, stamp, reached).into_iter().collect()
+                self.on_indirect_probe_result(now, host, stamp, reached).into_iter().collect()
             }
-            (Waiting::Sync, Some(MembersReply::News(news))) => {
-                for news in news.into_iter().take(MAX_MEMBERS) {
-                    self.take_news(now, news, None);
+            (InFlight::Sync, Some(MembersReply::Updates(updates))) => {
+                for update in updates.into_iter().take(MAX_MEMBERS) {
+                    self.apply_update(now, update, None);
                 }
                 Vec::new()
             }
-            (Waiting::Greeting | Waiting::Sync, _) => Vec::new(),
+            (InFlight::Announcement | InFlight::Sync, _) => Vec::new(),
         }
     }
 
     fn stamp(&self) -> Stamp {
-        Stamp { incarnation: self.me.incarnation, sequence: self.sequence }
+        Stamp { incarnation: self.local.incarnation, sequence: self.sequence }
     }
 
-    fn send(&mut self, to: SocketAddr, ask: MembersAsk, waiting: Waiting) -> Send {
+    fn send(&mut self, to: SocketAddr, ask: MembersAsk, in_flight: InFlight) -> OutboundMessage {
         self.next_token += 1;
-        self.waiting.insert(self.next_token, waiting);
-        Send { to, token: self.next_token, ask }
+        self.in_flight.insert(self.next_token, in_flight);
+        OutboundMessage { to, token: self.next_token, ask }
     }
 
-    /// After a pause, answers that did not come say nothing of the others, and suspicions could
-    /// not be refuted here: both get their time again.
-    fn notice_pause(&mut self, now: Time) {
+    /// Drops pending probes and restarts suspicion timeouts if this process was paused. During a
+    /// pause neither answers nor refutations can arrive.
+    fn reset_after_pause(&mut self, now: Time) {
         let gap = now.since(self.last_tick);
-        if self.last_tick == Time::ZERO || gap < self.terms.pause {
+        if self.last_tick == Time::ZERO || gap < self.config.pause_threshold {
             return;
         }
-        self.waiting.clear();
-        self.helped.clear();
+        self.in_flight.clear();
+        self.indirect_probes.clear();
         for peer in self.peers.values_mut().filter(|peer| peer.health == Health::Suspect) {
-            peer.since = now;
+            peer.health_since = now;
         }
     }
 
-    /// A young process looks for others often; later it only greets the dead and the listed.
-    fn greeting_interval(&self, now: Time) -> Duration {
-        let young = now.since(self.first_tick) < YOUNG;
-        match (young, self.hints.is_empty()) {
-            (true, false) => self.terms.news_interval,
-            (true, true) => self.terms.interval,
-            (false, _) => self.terms.interval * 10,
+    /// Time until the next unknown address is contacted; short during [`DISCOVERY_PERIOD`].
+    fn discovery_interval(&self, now: Time) -> Duration {
+        let is_discovering = now.since(self.first_tick) < DISCOVERY_PERIOD;
+        match (is_discovering, self.contacts.is_empty()) {
+            (true, false) => self.config.update_interval,
+            (true, true) => self.config.heartbeat_interval,
+            (false, _) => self.config.heartbeat_interval * 10,
         }
     }
 
-    /// Greets somebody who is not thought alive: a hint, or one of the dead.
-    fn greet<R: Rng>(&mut self, rng: &mut R) -> Option<Send> {
-        let dead: Vec<(SocketAddr, News)> = self
+    /// Sends a heartbeat to a random address among the contacts and the dead members.
+    fn contact_unknown<R: Rng>(&mut self, rng: &mut R) -> Option<OutboundMessage> {
+        let dead: Vec<(SocketAddr, MemberUpdate)> = self
             .peers
             .values()
             .filter(|peer| peer.health == Health::Dead)
-            .filter(|peer| self.me.role == HostRole::Entry || peer.member.zone == self.me.zone)
+            .filter(|peer| {
+                self.local.role == HostRole::Entry || peer.member.zone == self.local.zone
+            })
             .map(|peer| {
                 let (host, stamp) = (peer.member.host.clone(), peer.stamp());
-                (peer.member.address, News::Verdict { host, stamp, health: Health::Dead })
+                (
+                    peer.member.address,
+                    MemberUpdate::HealthReport { host, stamp, health: Health::Dead },
+                )
             })
             .collect();
-        let mut hello = self.hello_frame();
-        hello.who = true;
-        hello.news.push(News::Here { member: Box::new(self.me.clone()), sequence: self.sequence });
-        let options = dead.len() + self.hints.len();
-        if options == 0 {
+        let mut heartbeat = self.base_heartbeat();
+        heartbeat.wants_announcement = true;
+        heartbeat.updates.push(MemberUpdate::Announcement {
+            member: Box::new(self.local.clone()),
+            sequence: self.sequence,
+        });
+        let candidates = dead.len() + self.contacts.len();
+        if candidates == 0 {
             return None;
         }
-        let chosen = rng.random_range(0..options);
+        let chosen = rng.random_range(0..candidates);
         let to = match chosen.checked_sub(dead.len()) {
-            Some(hint) => self.hints[hint],
+            Some(contact) => self.contacts[contact],
             None => {
-                // It hears that it is thought dead, and refutes that.
-                hello.news.push(dead[chosen].1.clone());
+                // Reporting the member as dead lets it refute the report if it is back.
+                heartbeat.updates.push(dead[chosen].1.clone());
                 dead[chosen].0
             }
         };
-        Some(self.send(to, MembersAsk::Hello(hello), Waiting::Greeting))
+        Some(self.send(to, MembersAsk::Heartbeat(heartbeat), InFlight::Announcement))
     }
 }
--- a/node/src/agent/engine_watch.rs
+++ b/node/src/agent/engine_watch.rs
@@ -233,7 +233,7 @@
             let reply = shared.transport.ask_one(address, &ask, PROBE_TIMEOUT);
             matches!(
                 reply.map(|reply| reply.body),
-                Ok(ReplyBody::Members(MembersReply::Me(member)))
+                Ok(ReplyBody::Members(MembersReply::Member(member)))
                     if !member.leaving
                     && matches!(&member.serving, Serving::Model { version, .. } if *version == held)
             )
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -28,9 +28,9 @@
 use mastichaven_core::members::Member;
 use mastichaven_core::members::MembersAsk;
 use mastichaven_core::members::MembersReply;
+use mastichaven_core::membership::GossipConfig;
 use mastichaven_core::membership::Membership;
-use mastichaven_core::membership::Send;
-use mastichaven_core::membership::Terms;
+use mastichaven_core::membership::OutboundMessage;
 use mastichaven_core::ring;
 use mastichaven_core::spread::MAX_PARTS;
 use mastichaven_core::spread::MissingPart;
@@ -275,7 +275,7 @@
 impl<N: Controlled> Loop<N> {
     fn new(node: Arc<N>) -> Loop<N> {
         let seeds = node.control().seeds.clone();
-        let membership = Membership::new(node.member(), seeds, Terms::default());
+        let membership = Membership::new(node.member(), seeds, GossipConfig::default());
         Loop {
             node,
             membership,
@@ -304,8 +304,8 @@
             return;
         }
         self.tick_at = now + TICK;
-        self.membership.set_me(self.node.member());
-        self.membership.set_docs(self.node.documents().fingerprint());
+        self.membership.set_local_member(self.node.member());
+        self.membership.set_plans_fingerprint(self.node.documents().fingerprint());
         let sends = self.membership.tick(now, &mut rand::rng());
         self.send_all(sends);
         self.settle(now);
@@ -313,7 +313,8 @@
     }
 
     fn settle(&mut self, now: Time) {
-        let quiet = now.passed(self.membership.changed(), SETTLED) && now >= Time::ZERO + SETTLED;
+        let quiet =
+            now.passed(self.membership.last_change(), SETTLED) && now >= Time::ZERO + SETTLED;
         if quiet {
             self.unsettled = None;
         }
@@ -337,7 +338,7 @@
             self.plant(&members);
         }
         let control = self.node.control();
-        control.alive.store(self.membership.alive() as u64, Ordering::Release);
+        control.alive.store(self.membership.alive_count() as u64, Ordering::Release);
         *control.members.write().expect("no holder of this lock panics") = Arc::new(members);
     }
 
@@ -356,10 +357,11 @@
         self.tree = order.into_iter().map(|m| (m.host.clone(), m.address)).collect();
     }
 
-    fn send_all(&self, sends: Vec<Send>) {
-        for Send { to, token, ask } in sends {
+    fn send_all(&self, sends: Vec<OutboundMessage>) {
+        for OutboundMessage { to, token, ask } in sends {
             let tx = self.node.control().tx.clone();
-            let call = self.call(to, AskBody::Members(ask), Terms::default().timeout);
+            let call =
+                self.call(to, AskBody::Members(ask), GossipConfig::default().heartbeat_timeout);
             tokio::spawn(async move {
                 let reply = call.await.ok();
                 let _ = tx.send_async(Event::Answered { to, token, reply }).await;
@@ -395,7 +397,7 @@
                 self.pass_on(update, Way::Other);
             }
             Event::NotPushed { rank, update } => self.push_below(rank, &update),
-            Event::Hints(addresses) => self.membership.hint(addresses),
+            Event::Hints(addresses) => self.membership.set_contacts(addresses),
         }
     }
 
@@ -408,14 +410,14 @@
             self.pull(address, self.generation());
         }
         let body = match ask.body {
-            AskBody::Members(MembersAsk::ProbeFor(address)) => {
+            AskBody::Members(MembersAsk::IndirectProbe(address)) => {
                 return self.probe_for(address, replies);
             }
-            AskBody::Members(MembersAsk::HostLeaves(leaves)) => {
+            AskBody::Members(MembersAsk::HostLeaving(leaves)) => {
                 if peer.role == Role::Entry {
                     self.node.host_leaves(leaves);
                 }
-                ReplyBody::Members(MembersReply::Noted)
+                ReplyBody::Members(MembersReply::Ack)
             }
             AskBody::Members(ask) => {
                 let now = self.now();
@@ -470,10 +472,10 @@
 
     /// Plans that differ for longer than news takes were missed by one side or the other.
     fn compare_docs(&mut self, to: SocketAddr, reply: &MembersReply) {
-        let MembersReply::Hello(hello) = reply else {
+        let MembersReply::Heartbeat(heartbeat) = reply else {
             return;
         };
-        if hello.docs == self.node.documents().fingerprint() {
+        if heartbeat.plans_fingerprint == self.node.documents().fingerprint() {
             self.different_docs = 0;
             return;
         }
--- a/node/src/platform_watch.rs
+++ b/node/src/platform_watch.rs
@@ -240,7 +240,7 @@
             if listed.leaving == self.told_leaving.contains(&listed.name) {
                 continue;
             }
-            let ask = self.node.ask(AskBody::Members(MembersAsk::HostLeaves(listed.leaving)));
+            let ask = self.node.ask(AskBody::Members(MembersAsk::HostLeaving(listed.leaving)));
             let noted = self.node.transport().ask_one(listed.address, &ask, NOTE_TIMEOUT).is_ok();
             if noted && listed.leaving {
                 self.told_leaving.insert(listed.name.clone());
