--- a/core/src/lease.rs
+++ b/core/src/lease.rs
@@ -1,14 +1,14 @@
-//! A lease on the platform: at most one process acts under it at a time.
+//! Lease stored as an object on the platform: at most one process holds it at a time.
 //!
-//! The lease is one object, taken, renewed and released by conditional update. Nobody compares
-//! wall clocks: the holder counts the period from the moment it *sent* the write that succeeded,
-//! and stops [`Terms::margin`] before the end; an observer counts a whole period from the moment
-//! it first *read* a revision. Whatever the delays, the holder's count starts first and so ends
-//! first, as long as the clocks' rates differ by less than the margin.
+//! The lease is acquired, renewed and released by conditional updates. Wall clocks are never
+//! compared. The holder measures the period from the time it *sent* the write that succeeded and
+//! stops [`LeaseTiming::margin`] before the end. An observer measures a whole period from the time
+//! it first *read* a revision. With any delay the holder's period starts first and so ends first,
+//! as long as the rates of the clocks differ by less than the margin.
 //!
-//! A process that is paused between [`Lease::token`] and its own write can still be late. That is
-//! what the fence is for: each such write must itself be a conditional update of the object it
-//! changes, read under the same token, so that a successor's write makes the late one fail.
+//! A process that is paused between [`Lease::token`] and its own write can still write late. Each
+//! such write must therefore be a conditional update of an object that was read under the same
+//! token, so that a write of the next holder makes the late one fail.
 
 use std::time::Duration;
 
@@ -25,178 +25,192 @@
 use crate::platform::PlatformError;
 use crate::time::Time;
 
-/// The part of a period after which the holder renews, and an observer reads again.
-const RENEW_PART: u32 = 4;
+/// Renewals by the holder, and reads by an observer, in one period.
+const RENEWALS_PER_PERIOD: u32 = 4;
 
-/// How long a lease holds.
+/// Duration of a lease.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Terms {
-    /// Without a renewal, an observer may take over after this long.
+pub struct LeaseTiming {
+    /// Time without a renewal after which an observer may acquire the lease.
     pub period: Duration,
-    /// The holder stops acting this long before the end of the period.
+    /// Time before the end of the period at which the holder stops acting.
     pub margin: Duration,
 }
 
-impl Default for Terms {
+impl Default for LeaseTiming {
     fn default() -> Self {
-        Terms { period: Duration::from_secs(6), margin: Duration::from_millis(1_500) }
+        LeaseTiming { period: Duration::from_secs(6), margin: Duration::from_millis(1_500) }
     }
 }
 
-/// The object on the platform.
+/// Value of the lease object, encoded as JSON.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseRecord {
-    /// The host that holds it.
+    /// Host of the holder.
     pub host: HostName,
-    /// The life of that host's process; a restarted process is another holder.
+    /// Incarnation of the holder's process; a restarted process is another holder.
     pub incarnation: Incarnation,
-    /// Rises with each change of holder: the fencing token.
+    /// Fencing token; incremented with each change of holder.
     pub term: u64,
-    /// Rises with each write of one holder.
+    /// Incremented with each write of the same holder.
     pub renewal: u64,
-    /// How long observers wait, in milliseconds.
+    /// Period in milliseconds for which observers wait without a renewal.
     pub period_ms: u64,
-    /// Whether the holder gave it up, so that nobody needs to wait.
+    /// Whether the holder released the lease, which lets an observer acquire it at once.
     pub released: bool,
 }
 
-/// Proof of holding the lease at one moment.
+/// Proof that the lease is held at the time of [`Lease::token`].
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Token {
-    /// The term; higher than that of each earlier holder.
+pub struct LeaseToken {
+    /// Fencing token; higher than that of each earlier holder.
     pub term: u64,
-    /// Until when, on the holder's own clock, it may act.
+    /// End of the time in which the holder may act, on its own clock.
     pub until: Time,
 }
 
-/// What the caller does next for the lease.
+/// Next action of the caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Step {
-    /// Nothing at present.
+pub enum LeaseStep {
+    /// Nothing is due.
     Idle,
-    /// Read the object and pass the result to [`Lease::on_read`].
+    /// Read the lease object and pass the result to [`Lease::on_read`].
     Read,
-    /// Write the object and pass the result to [`Lease::on_written`].
+    /// Write the lease object and pass the result to [`Lease::on_written`].
     Write {
-        /// The encoded record.
+        /// Encoded [`LeaseRecord`].
         value: Bytes,
-        /// What the platform must find.
+        /// Precondition of the write.
         expect: Expect,
     },
 }
 
 #[derive(Clone, Debug, Eq, PartialEq)]
-struct Seen {
+struct Observed {
     record: Option<LeaseRecord>,
     expect: Expect,
-    /// When this revision was first read, on the observer's clock.
-    since: Time,
-    read: Time,
+    /// Time of the first read of this revision, on the observer's clock.
+    first_read: Time,
+    last_read: Time,
 }
 
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct Held {
     record: LeaseRecord,
     revision: Revision,
-    /// When the write was sent, on the holder's clock.
-    sent: Time,
+    /// Time at which the write was sent, on the holder's clock.
+    sent_at: Time,
 }
 
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct Pending {
     record: LeaseRecord,
-    sent: Time,
+    sent_at: Time,
 }
 
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum State {
     Unread,
-    Watching(Seen),
+    Observing(Observed),
     Held(Held),
-    /// A write is under way or its answer was lost; `held` still counts by its own time.
+    /// A write is in flight or its answer was lost; `held` is valid until its own period ends.
     InDoubt {
         pending: Pending,
         held: Option<Held>,
     },
 }
 
-/// One process's view of a lease.
+/// State of a lease in one process.
 #[derive(Clone, Debug)]
 pub struct Lease {
     host: HostName,
     incarnation: Incarnation,
-    terms: Terms,
+    timing: LeaseTiming,
     highest_term: u64,
-    last: Option<Seen>,
+    last_observed: Option<Observed>,
     state: State,
 }
 
 impl Lease {
-    /// The view of a process that has not read the object yet.
-    pub fn new(host: HostName, incarnation: Incarnation, terms: Terms) -> Lease {
-        Lease { host, incarnation, terms, highest_term: 0, last: None, state: State::Unread }
+    /// Creates the state of a process that has not read the lease object yet.
+    pub fn new(host: HostName, incarnation: Incarnation, timing: LeaseTiming) -> Lease {
+        Lease {
+            host,
+            incarnation,
+            timing,
+            highest_term: 0,
+            last_observed: None,
+            state: State::Unread,
+        }
     }
 
-    /// What to do at `now`. After a `Write`, only [`Lease::on_written`] may follow.
-    pub fn next(&mut self, now: Time) -> Step {
+    /// Returns the action due at `now`. After [`LeaseStep::Write`], the next call must be
+    /// [`Lease::on_written`].
+    pub fn next_step(&mut self, now: Time) -> LeaseStep {
         match &self.state {
-            State::Unread | State::InDoubt { .. } => Step::Read,
-            State::Watching(seen) if self.may_take(seen, now) => {
-                let (expect, term) = (seen.expect, self.highest_term + 1);
+            State::Unread | State::InDoubt { .. } => LeaseStep::Read,
+            State::Observing(observed) if self.may_acquire(observed, now) => {
+                let (expect, term) = (observed.expect, self.highest_term + 1);
                 self.write(now, term, 0, expect, None)
             }
-            State::Watching(seen) if now.passed(seen.read, self.terms.period / RENEW_PART) => {
-                Step::Read
+            State::Observing(observed)
+                if now.passed(observed.last_read, self.timing.period / RENEWALS_PER_PERIOD) =>
+            {
+                LeaseStep::Read
             }
-            State::Held(held) if now.passed(held.sent, self.terms.period / RENEW_PART) => {
+            State::Held(held)
+                if now.passed(held.sent_at, self.timing.period / RENEWALS_PER_PERIOD) =>
+            {
                 let held = held.clone();
                 let (expect, renewal) = (Expect::At(held.revision), held.record.renewal + 1);
                 self.write(now, held.record.term, renewal, expect, Some(held))
             }
-            State::Watching(_) | State::Held(_) => Step::Idle,
+            State::Observing(_) | State::Held(_) => LeaseStep::Idle,
         }
     }
 
-    /// The token, if the lease is held at `now`; ask right before each act under it.
-    pub fn token(&self, now: Time) -> Option<Token> {
+    /// Returns the token if the lease is held at `now`. Check it right before each action under the
+    /// lease.
+    pub fn token(&self, now: Time) -> Option<LeaseToken> {
         let held = match &self.state {
             State::Held(held) | State::InDoubt { held: Some(held), .. } => held,
             _ => return None,
         };
-        let until = held.sent + self.terms.period.saturating_sub(self.terms.margin);
-        (now < until).then_some(Token { term: held.record.term, until })
+        let until = held.sent_at + self.timing.period.saturating_sub(self.timing.margin);
+        (now < until).then_some(LeaseToken { term: held.record.term, until })
     }
 
-    /// Who held the lease when it was last read, if that is known and it was not given up.
+    /// Host of the holder as last read or written; `None` if it is unknown or the lease was
+    /// released.
     pub fn holder(&self) -> Option<&HostName> {
         let record = match &self.state {
             State::Held(held) | State::InDoubt { held: Some(held), .. } => Some(&held.record),
-            State::Watching(seen) => seen.record.as_ref(),
+            State::Observing(observed) => observed.record.as_ref(),
             State::Unread | State::InDoubt { .. } => None,
         };
         record.filter(|record| !record.released).map(|record| &record.host)
     }
 
-    /// Takes in the result of a read that ended at `now`.
+    /// Handles the result of a read that ended at `now`.
     pub fn on_read(&mut self, now: Time, result: platform::Result<Option<Object>>) {
-        // Without an answer nothing is learned; a held lease runs out by itself.
+        // A failed read changes nothing; a held lease expires by its own period.
         let Ok(object) = result else {
             return;
         };
-        let (record, expect) = scan_object(object);
+        let (record, expect) = decode_object(object);
         self.highest_term = self.highest_term.max(record.as_ref().map_or(0, |r| r.term));
         let state = std::mem::replace(&mut self.state, State::Unread);
         self.state = match (state, record) {
             (State::InDoubt { pending, held }, Some(record))
-                if self.is_mine(&record) && !pending.record.released =>
+                if self.is_own(&record) && !pending.record.released =>
             {
-                self.settle(pending, held, record, expect)
+                self.resolve_own_write(pending, held, record, expect)
             }
-            (_, record) => self.watch(now, record, expect),
+            (_, record) => self.observe(now, record, expect),
         };
     }
 
-    /// Takes in the result of the write that [`Lease::next`] or [`Lease::release`] gave.
+    /// Handles the result of a write returned by [`Lease::next_step`] or [`Lease::release`].
     pub fn on_written(&mut self, result: platform::Result<Revision>) {
         let State::InDoubt { pending, held } = self.state.clone() else {
             return;
@@ -204,42 +218,45 @@
         self.state = match (result, held) {
             (Ok(_), _) if pending.record.released => State::Unread,
             (Ok(revision), _) => {
-                State::Held(Held { record: pending.record, revision, sent: pending.sent })
+                State::Held(Held { record: pending.record, revision, sent_at: pending.sent_at })
             }
-            // Nothing was written: what was held is still held, for as long as it lasts.
+            // Nothing was written: a held lease stays valid until its period ends.
             (Err(PlatformError::Down | PlatformError::Throttled), Some(held)) => State::Held(held),
             (Err(PlatformError::Down | PlatformError::Throttled), None) => State::Unread,
-            // A conflict may come from an own write whose answer was lost; reading tells.
+            // A conflict may come from an own write whose answer was lost; the next read decides.
             (Err(_), held) => State::InDoubt { pending, held },
         };
     }
 
-    /// Gives the lease up; the write lets an observer take over at once.
-    pub fn release(&mut self, now: Time) -> Step {
+    /// Releases the lease. The returned write lets an observer acquire it at once.
+    pub fn release(&mut self, now: Time) -> LeaseStep {
         let State::Held(held) = &self.state else {
             self.state = State::Unread;
-            return Step::Idle;
+            return LeaseStep::Idle;
         };
         let mut record = held.record.clone();
         record.renewal += 1;
         record.released = true;
         let expect = Expect::At(held.revision);
         let value = encode(&record);
-        self.state = State::InDoubt { pending: Pending { record, sent: now }, held: None };
-        Step::Write { value, expect }
+        self.state = State::InDoubt { pending: Pending { record, sent_at: now }, held: None };
+        LeaseStep::Write { value, expect }
     }
 
-    fn is_mine(&self, record: &LeaseRecord) -> bool {
+    fn is_own(&self, record: &LeaseRecord) -> bool {
         record.host == self.host && record.incarnation == self.incarnation && !record.released
     }
 
-    /// A whole period must pass on this observer's own clock since it first read this revision.
-    /// An object that was never there needs no wait; one that was deleted may still have a holder.
-    fn may_take(&self, seen: &Seen, now: Time) -> bool {
-        match &seen.record {
+    /// Whether the lease may be acquired: a whole period has passed on the observer's clock since
+    /// it first read this revision. A released lease, or an object that never existed, needs no
+    /// wait; the holder of a deleted object may still be active.
+    fn may_acquire(&self, observed: &Observed, now: Time) -> bool {
+        match &observed.record {
             Some(record) if record.released => true,
-            Some(record) => now.passed(seen.since, Duration::from_millis(record.period_ms)),
-            None => self.highest_term == 0 || now.passed(seen.since, self.terms.period),
+            Some(record) => {
+                now.passed(observed.first_read, Duration::from_millis(record.period_ms))
+            }
+            None => self.highest_term == 0 || now.passed(observed.first_read, self.timing.period),
         }
     }
 
@@ -250,23 +267,24 @@
         renewal: u64,
         expect: Expect,
         held: Option<Held>,
-    ) -> Step {
+    ) -> LeaseStep {
         let record = LeaseRecord {
             host: self.host.clone(),
             incarnation: self.incarnation,
             term,
             renewal,
-            period_ms: u64::try_from(self.terms.period.as_millis()).unwrap_or(u64::MAX),
+            period_ms: u64::try_from(self.timing.period.as_millis()).unwrap_or(u64::MAX),
             released: false,
         };
         let value = encode(&record);
-        self.state = State::InDoubt { pending: Pending { record, sent: now }, held };
-        Step::Write { value, expect }
+        self.state = State::InDoubt { pending: Pending { record, sent_at: now }, held };
+        LeaseStep::Write { value, expect }
     }
 
-    /// The object is an own one. If it is the pending write, that write counts from when it was
-    /// sent; an older one only keeps what was held, because when it was sent is not known.
-    fn settle(
+    /// Resolves a write in doubt after reading an own record. If the record is the pending write,
+    /// its period starts when that was sent. An older record keeps the period held before, because
+    /// the time at which it was sent is unknown.
+    fn resolve_own_write(
         &self,
         pending: Pending,
         held: Option<Held>,
@@ -277,18 +295,18 @@
             return State::Unread;
         };
         if record == pending.record {
-            return State::Held(Held { record, revision, sent: pending.sent });
+            return State::Held(Held { record, revision, sent_at: pending.sent_at });
         }
-        let sent = held.map_or(Time::ZERO, |held| held.sent);
-        State::Held(Held { record, revision, sent })
+        let sent_at = held.map_or(Time::ZERO, |held| held.sent_at);
+        State::Held(Held { record, revision, sent_at })
     }
 
-    fn watch(&mut self, now: Time, record: Option<LeaseRecord>, expect: Expect) -> State {
-        let known = self.last.as_ref().filter(|last| last.expect == expect);
-        let since = known.map_or(now, |last| last.since);
-        let seen = Seen { record, expect, since, read: now };
-        self.last = Some(seen.clone());
-        State::Watching(seen)
+    fn observe(&mut self, now: Time, record: Option<LeaseRecord>, expect: Expect) -> State {
+        let known = self.last_observed.as_ref().filter(|last| last.expect == expect);
+        let first_read = known.map_or(now, |last| last.first_read);
+        let observed = Observed { record, expect, first_read, last_read: now };
+        self.last_observed = Some(observed.clone());
+        State::Observing(observed)
     }
 }
 
@@ -296,19 +314,20 @@
     Bytes::from(serde_json::to_vec(record).expect("a record always encodes"))
 }
 
-/// An object that cannot be read counts as a holder of unknown name: it is waited for.
-fn scan_object(object: Option<Object>) -> (Option<LeaseRecord>, Expect) {
+/// Decodes a lease object. An object that cannot be decoded counts as held by an unknown process,
+/// so that the observer waits for a whole period.
+fn decode_object(object: Option<Object>) -> (Option<LeaseRecord>, Expect) {
     let Some(object) = object else {
         return (None, Expect::Absent);
     };
-    let unknown = LeaseRecord {
+    let unreadable = LeaseRecord {
         host: HostName::default(),
         incarnation: Incarnation::default(),
         term: 0,
         renewal: 0,
-        period_ms: u64::try_from(Terms::default().period.as_millis()).unwrap_or(u64::MAX),
+        period_ms: u64::try_from(LeaseTiming::default().period.as_millis()).unwrap_or(u64::MAX),
         released: false,
     };
-    let record = serde_json::from_slice(&object.value).unwrap_or(unknown);
+    let record = serde_json::from_slice(&object.value).unwrap_or(unreadable);
     (Some(record), Expect::At(object.revision))
 }
--- a/core/src/platform.rs
+++ b/core/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's object API as the decisions see it.
+//! Interface to the object API of the platform.
 //!
-//! The HTTP adapter in `mastichaven-node` and the in-memory fakes of the tests implement
-//! [`ObjectStore`]. All calls block for at most the adapter's timeout.
+//! The HTTP client in `mastichaven-node` and the in-memory fakes of the tests implement
+//! [`ObjectStore`]. Each call blocks for at most the timeout of the implementation.
 
 use std::time::Duration;
 
@@ -16,28 +16,28 @@
 use crate::ids::Revision;
 use crate::ids::ZoneName;
 
-/// The largest value the platform takes, in bytes.
+/// Maximum size of a value in bytes that the platform accepts.
 pub const MAX_VALUE_LEN: usize = 1_000_000;
 
 /// Result of a call to the platform.
 pub type Result<T> = std::result::Result<T, PlatformError>;
 
-/// Why a call to the platform failed.
+/// Error of a call to the platform.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PlatformError {
-    /// The expected revision does not match; nothing was written.
+    /// The precondition was not met; nothing was written.
     Conflict,
-    /// The platform refused or could not be reached; nothing was written.
+    /// The platform refused the call or could not be reached; nothing was written.
     Down,
-    /// The request left and no answer came: a write may or may not have taken effect.
+    /// The request was sent but no answer arrived; a write may or may not have taken effect.
     Unknown,
     /// The value is larger than [`MAX_VALUE_LEN`]; nothing was written.
     TooLarge,
-    /// The watch started before the oldest change still kept; list again.
+    /// The watch starts before the oldest retained change; the caller must list again.
     Compacted,
-    /// The platform is limiting the rate of calls; nothing was written.
+    /// The platform limits the rate of calls; nothing was written.
     Throttled,
-    /// The answer cannot be read.
+    /// The answer cannot be decoded; a write may have taken effect.
     Malformed,
 }
 
@@ -54,88 +54,88 @@
     }
 }
 
-/// An object as read.
+/// A stored object.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Object {
-    /// Revision of the last write to it.
+    /// Revision of its last write.
     pub revision: Revision,
-    /// Its value.
+    /// Stored bytes, at most [`MAX_VALUE_LEN`].
     pub value: Bytes,
 }
 
-/// What a conditional write expects to find.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Expect {
-    /// No object under the key.
+    /// No object exists under the key.
     Absent,
-    /// The object at exactly this revision.
+    /// The object is at exactly this revision.
     At(Revision),
 }
 
-/// A change seen by a watch.
+/// A change reported by a watch.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// The key that changed.
+    /// Key of the changed object.
     pub key: SmolStr,
-    /// The revision of the change.
+    /// Revision of the change.
     pub revision: Revision,
     /// Whether the object was deleted.
     pub deleted: bool,
 }
 
-/// What a watch returned.
+/// Result of a watch.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Changes {
-    /// Pass this revision to the next watch.
+    /// Revision from which the next watch continues.
     pub revision: Revision,
-    /// The changes after the given revision, oldest first; empty when the wait ran out.
+    /// Changes after the requested revision, oldest first; empty if the wait timed out.
     pub changes: Vec<Change>,
 }
 
-/// What a host of the platform's list runs.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostRole {
     /// `mastichaven-entry`.
     Entry,
-    /// `mastichaven-agent` beside an endpoint.
+    /// `mastichaven-agent`, which manages an endpoint.
     Agent,
 }
 
-/// A host as the platform's list shows it. The list lags, so it is a hint and no proof.
+/// An entry of the platform's host list. The list lags, so it proves nothing about the host.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ListedHost {
-    /// Its name.
+    /// Name of the host.
     pub name: HostName,
-    /// What it runs.
+    /// Role of the process on the host.
     pub role: HostRole,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Its region.
+    /// Region of the availability zone.
     pub region: RegionName,
-    /// IP number and UDP port of the process, for peers.
+    /// IP address and UDP port on which the process receives messages from peers.
     pub address: std::net::SocketAddr,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove the host.
     pub leaving: bool,
 }
 
-/// The platform's object API.
+/// Object API of the platform.
 pub trait ObjectStore: Send + Sync {
-    /// Reads an object.
+    /// Reads an object; `None` if the key does not exist.
     fn get(&self, key: &str) -> Result<Option<Object>>;
 
-    /// Writes an object if it is as expected, and returns its new revision.
+    /// Writes an object if the precondition holds, and returns its new revision.
     fn put(&self, key: &str, value: Bytes, expect: Expect) -> Result<Revision>;
 
-    /// Deletes an object if it is at `revision`.
+    /// Deletes an object if it is still at `revision`.
     fn delete(&self, key: &str, revision: Revision) -> Result<()>;
 
-    /// Keys and revisions below `prefix`, in key order.
+    /// Lists keys with `prefix` and their revisions, in key order.
     fn list(&self, prefix: &str) -> Result<Vec<(SmolStr, Revision)>>;
 
-    /// Changes below `prefix` after `after`, waiting up to `wait` for the first.
+    /// Returns changes under `prefix` after revision `after`, waiting up to `wait` for the first.
     fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Changes>;
 
-    /// The platform's list of hosts.
+    /// Reads the host list of the platform.
     fn hosts(&self) -> Result<Vec<ListedHost>>;
 }
--- a/core/src/time.rs
+++ b/core/src/time.rs
@@ -1,8 +1,8 @@
-//! Time as the deciding functions see it: a monotonic instant given as an argument.
+//! Monotonic time, passed to each decision as an argument.
 //!
-//! No function of this crate reads a clock. The callers in `mastichaven-node` take the monotonic
-//! clock once and pass the same [`Time`] to every decision of one step, so that a clock step of
-//! the host cannot lengthen or shorten a lease, and so that tests choose the time themselves.
+//! No function of this crate reads a clock. Callers in `mastichaven-node` read the monotonic clock
+//! once per step and pass the same [`Time`] to every decision of that step. A wall clock step of
+//! the host so cannot lengthen or shorten a lease, and tests control the time.
 
 use std::ops::Add;
 use std::time::Duration;
@@ -10,44 +10,44 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A monotonic instant, in microseconds since an arbitrary start of the process.
+/// A monotonic instant, in microseconds since an arbitrary origin within the process.
 ///
-/// Instants of two processes are not comparable; messages carry durations instead.
+/// Instants of different processes are not comparable, so messages carry durations.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Time(u64);
 
 impl Time {
-    /// The start of the process.
+    /// The origin of the clock.
     pub const ZERO: Time = Time(0);
 
-    /// An instant `micros` microseconds after the start.
+    /// Returns the instant `micros` microseconds after [`Time::ZERO`].
     pub const fn from_micros(micros: u64) -> Time {
         Time(micros)
     }
 
-    /// An instant `millis` milliseconds after the start.
+    /// Returns the instant `millis` milliseconds after [`Time::ZERO`].
     pub const fn from_millis(millis: u64) -> Time {
         Time(millis * 1_000)
     }
 
-    /// Microseconds since the start.
+    /// Microseconds since [`Time::ZERO`].
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Whole milliseconds since the start.
+    /// Whole milliseconds since [`Time::ZERO`].
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// The time passed since `earlier`, zero if `earlier` is in fact later.
+    /// Duration from `earlier` to this instant; zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Whether at least `span` has passed since `earlier`.
+    /// Whether at least `span` has elapsed since `earlier`.
     pub fn passed(self, earlier: Time, span: Duration) -> bool {
         self.since(earlier) >= span
     }
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -345,7 +345,7 @@
     fn plant(&mut self, members: &[Member]) {
         let me = self.node.member();
         let all: Vec<&Member> = members.iter().collect();
-        let order = ring::tree(&me.zone, &all);
+        let order = ring::tree_order(&me.zone, &all);
         let relays = ring::relays(&me.zone, &all);
         let relay = relays.iter().position(|member| member.host == me.host);
         let relay = relay.map_or(NO_RELAY, |rank| rank as u32);
@@ -592,7 +592,7 @@
     }
 
     fn push_below(&self, rank: usize, update: &Arc<Update>) {
-        for child in ring::children(rank, self.tree.len()) {
+        for child in ring::tree_children(rank, self.tree.len()) {
             self.push_to(child, update, true);
         }
     }
@@ -629,7 +629,7 @@
 
     /// Asks the children what those below them have in force, and puts the answers together.
     fn survey(&self, replies: ReplySink) {
-        let children = ring::children(self.rank, self.tree.len());
+        let children = ring::tree_children(self.rank, self.tree.len());
         let calls: Vec<_> = children
             .map(|child| {
                 let body = AskBody::Spread(SpreadAsk::Survey);
--- a/node/src/entry/planner.rs
+++ b/node/src/entry/planner.rs
@@ -18,7 +18,7 @@
 use mastichaven_core::ids::HostName;
 use mastichaven_core::ids::ModelName;
 use mastichaven_core::ids::ZoneName;
-use mastichaven_core::lease::Terms;
+use mastichaven_core::lease::LeaseTiming;
 use mastichaven_core::members::EndpointKind;
 use mastichaven_core::members::Member;
 use mastichaven_core::members::Serving;
@@ -62,8 +62,8 @@
 /// Runs until the entry ends, then gives the lease up.
 pub(super) fn run(shared: &Shared) {
     let host = shared.settings.place.host.clone();
-    let terms = Terms::default();
-    let lease = LeaseKeeper::new(PLANNER_LEASE_KEY, host, shared.incarnation, terms, shared.clock);
+    let timing = LeaseTiming::default();
+    let lease = LeaseKeeper::new(PLANNER_LEASE_KEY, host, shared.incarnation, timing, shared.clock);
     let mut planner = Planner {
         shared,
         lease,
--- a/node/src/lease_keeper.rs
+++ b/node/src/lease_keeper.rs
@@ -3,9 +3,9 @@
 use mastichaven_core::ids::HostName;
 use mastichaven_core::ids::Incarnation;
 use mastichaven_core::lease::Lease;
-use mastichaven_core::lease::Step;
-use mastichaven_core::lease::Terms;
-use mastichaven_core::lease::Token;
+use mastichaven_core::lease::LeaseStep;
+use mastichaven_core::lease::LeaseTiming;
+use mastichaven_core::lease::LeaseToken;
 use mastichaven_core::platform::ObjectStore;
 
 use crate::clock::Clock;
@@ -30,19 +30,19 @@
         key: &'static str,
         host: HostName,
         incarnation: Incarnation,
-        terms: Terms,
+        timing: LeaseTiming,
         clock: Clock,
     ) -> LeaseKeeper {
-        LeaseKeeper { key, lease: Lease::new(host, incarnation, terms), clock }
+        LeaseKeeper { key, lease: Lease::new(host, incarnation, timing), clock }
     }
 
     /// Reads, takes or renews the lease if that is due. Call a few times a second; it seldom
     /// calls the platform.
     pub fn tick(&mut self, store: &dyn ObjectStore) {
         for _ in 0..STEPS_A_TICK {
-            match self.lease.next(self.clock.now()) {
-                Step::Idle => return,
-                Step::Read => {
+            match self.lease.next_step(self.clock.now()) {
+                LeaseStep::Idle => return,
+                LeaseStep::Read => {
                     let result = store.get(self.key);
                     let failed = result.is_err();
                     self.lease.on_read(self.clock.now(), result);
@@ -50,7 +50,7 @@
                         return;
                     }
                 }
-                Step::Write { value, expect } => {
+                LeaseStep::Write { value, expect } => {
                     self.lease.on_written(store.put(self.key, value, expect));
                 }
             }
@@ -58,7 +58,7 @@
     }
 
     /// The token if the lease is held now; ask right before each act under it.
-    pub fn token(&self) -> Option<Token> {
+    pub fn token(&self) -> Option<LeaseToken> {
         self.lease.token(self.clock.now())
     }
 
@@ -69,7 +69,7 @@
 
     /// Gives the lease up if it is held.
     pub fn release(&mut self, store: &dyn ObjectStore) {
-        if let Step::Write { value, expect } = self.lease.release(self.clock.now()) {
+        if let LeaseStep::Write { value, expect } = self.lease.release(self.clock.now()) {
             self.lease.on_written(store.put(self.key, value, expect));
         }
     }
