--- a/core/src/direct.rs
+++ b/core/src/direct.rs
@@ -1,12 +1,17 @@
-//! Decisions of the direct path, on which an entry sends a request straight to an endpoint.
+//! Request placement and replication decisions of the direct path, on which an entry forwards a
+//! request straight to an endpoint. Nothing here performs I/O.
 //!
-//! [`catalog`] says where a request may go, [`roster`] which endpoints stand there, [`endpoint`] what each
-//! can bear, `choice` which of them a request goes to, [`lateness`] which requests yield to others,
-//! [`shares`] how much of a fleet-wide bound one entry may use, [`freshness`] whether what the
-//! entry knows is young enough to act on, [`events`] where a broken stream resumes, [`versions`]
-//! which weights may answer, [`caches`] which entries hand out chunks of them, and [`rollout`] when an
-//! endpoint loads a new version. [`retry_after`] says when a refused caller may come back. [`replication`] is what
-//! entries pass on to each other of the store, and [`subscribers`] are the entries that an agent hears of.
+//! [`catalog`] maps requests to services and [`endpoint_table`] holds the endpoints of each
+//! service, with the state of one of them in [`endpoint`]. A request goes to the best of a random
+//! sample of them (`sampling`), past those that `ejection` takes out of rotation; [`lateness`]
+//! detects requests that give way to others. [`shares`] divides fleet-wide limits among entries,
+//! and [`retry_after`] computes when a refused caller may return. [`events`] resumes broken
+//! streams.
+//!
+//! [`freshness`] decides whether replicated state is recent enough to act on. [`replication`]
+//! defines the updates that entries exchange, and [`subscribers`] tracks the entries that contact
+//! an agent. [`versions`] tracks which weights may answer, [`caches`] which entries serve chunks of
+//! them, and [`rollout`] when an endpoint loads a new version.
 
 pub mod caches;
 pub mod catalog;
--- a/core/src/direct/endpoint.rs
+++ b/core/src/direct/endpoint.rs
@@ -1,5 +1,5 @@
-//! One endpoint as an entry sees it: what the platform's list and its agent say of it, and how the
-//! requests that went there have ended.
+//! State of one endpoint as an entry sees it, from the platform's list, the load reports of its
+//! agent and the outcomes of this entry's requests.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -19,123 +19,129 @@
 use crate::ids::ZoneName;
 use crate::time::Time;
 
-/// A load report older than this says nothing of the present load. Agents report every 100 ms; three
-/// lost in a row are rare.
+/// Age up to which a load report describes the present load. Agents report every 100 ms, and losing
+/// three reports in a row is rare.
 const REPORT_TTL: Duration = Duration::from_millis(400);
 
-/// The same for endpoints of other regions, which report half as often.
+/// [`REPORT_TTL`] for endpoints of other regions, which report half as often.
 const FAR_REPORT_TTL: Duration = Duration::from_millis(800);
 
-/// Requests beyond its slots that an endpoint may hold. Under lasting overload every queue is full, so the
-/// last place decides when all requests start. What has no place is refused at once.
+/// Requests that an endpoint may hold beyond its slots. Under lasting overload every queue is full,
+/// so the last place in it determines when all requests start. Requests that find no place are
+/// refused at once.
 pub const MAX_QUEUED_REQUESTS: u32 = 2;
 
-/// Part of an engine's slots that late requests leave to others, beside the places in the queue. While all
-/// engines are full nothing late is sent; with part of the fleet free it still is.
+/// Fraction of an engine's slots that late requests leave free, in addition to the places in its
+/// queue. While all engines are full no late request is sent; with part of the fleet free it still
+/// is.
 const LATE_RESERVED_SHARE: f64 = 0.375;
 
-/// How long an endpoint that refused as full is spared: about until its next report.
+/// Backoff after an endpoint refused a request as full: about the time until its next report.
 const FULL_BACKOFF: Duration = Duration::from_millis(120);
 
-/// How long an endpoint is spared that said a request was meant for another process: about half the
-/// interval at which endpoints renew their entry in the platform's list.
+/// Backoff after an endpoint answered that a request was meant for another process: about half the
+/// interval at which endpoints renew their record in the platform's list.
 const MISDIRECTED_BACKOFF: Duration = Duration::from_millis(600);
 
-/// Time in which an engine reads a prompt of usual length beside the streams that it writes.
+/// Time in which an engine reads a prompt of usual length while it writes its streams.
 ///
-/// Between two reports all entries see an engine that has become free as the least loaded one and would
-/// flood it; while it reads their prompts, all its streams pause. So what an entry sent lately counts, once
-/// for each entry, and an engine gets about one request in this time from all of them together.
+/// Between two reports all entries see an engine that has become free as the least loaded one and
+/// would flood it with prompts, and all its streams pause while it reads them. Each recent request
+/// of this entry is therefore counted once for every entry, which limits all entries together to
+/// about one request for an engine in this time.
 const PREFILL_TIME: Duration = Duration::from_millis(50);
 
-/// Usual time until a place of an endpoint frees.
+/// Usual time until an endpoint at capacity frees a place.
 const SLOT_RELEASE_INTERVAL: Duration = Duration::from_millis(70);
 
-/// Round trip to an agent from which on its endpoint gets nothing: its link is so full that answers
-/// would be late and callers' leaving would reach the endpoint only after their requests have run.
+/// Round trip to an agent from which on its endpoint is sent nothing. The link is then so full that
+/// answers would be late and cancellations by callers would reach the endpoint only after their
+/// requests have run.
 const MAX_ROUND_TRIP: Duration = Duration::from_millis(250);
 
-/// Age of the last ask that an agent has answered from which on its link counts as full, too: asks go
-/// out every 300 ms, and one may be lost.
+/// Age of the latest answered report request from which on the link to an agent counts as full,
+/// too. Report requests are sent every 300 ms, and one may be lost.
 const REPORT_REQUEST_TTL: Duration = Duration::from_millis(800);
 
-/// The same for endpoints of other regions, which are asked half as often.
+/// [`REPORT_REQUEST_TTL`] for endpoints of other regions, whose agents are asked half as often.
 const FAR_REPORT_REQUEST_TTL: Duration = Duration::from_millis(1_600);
 
-/// Names an endpoint while it is on the roster.
+/// Key of an endpoint, valid while the endpoint is in the table.
 pub type EndpointKey = Key<Endpoint>;
 
-/// What the platform's list says of an endpoint.
+/// Record of an endpoint in the platform's list.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EndpointRecord {
-    /// Its incarnation's name.
+    /// Id of this incarnation of the endpoint.
     pub id: SmolStr,
-    /// Revision of the store at which it was last changed: of two that differ, the higher one holds.
+    /// Store revision of the last change. Of two records that differ, the one with the higher
+    /// revision holds.
     pub revision: Revision,
-    /// The service it belongs to.
+    /// Service that the endpoint belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address on which the endpoint accepts requests.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the endpoint.
     pub zone: ZoneName,
-    /// Requests it processes at once.
+    /// Number of requests that the endpoint processes concurrently.
     pub slots: u32,
-    /// Whether it is about to stop and takes nothing new.
+    /// Whether the endpoint is about to stop and accepts no new requests.
     pub is_draining: bool,
-    /// How much longer it stays cold.
+    /// Remaining time during which the endpoint is cold and its request rate limited.
     pub cold_remaining: Duration,
-    /// The version of each model of which it holds all layers.
+    /// Version of each model of which the endpoint holds all layers.
     pub weights: Vec<(SmolStr, u64)>,
-    /// Whether it runs a model, so that it serves only with weights.
+    /// Whether the endpoint runs a model and therefore serves only with weights.
     pub is_engine: bool,
-    /// When it started, in milliseconds of the Unix epoch; 0 if it does not say.
+    /// Start time of the process in milliseconds of the Unix epoch; 0 if the list does not give it.
     pub started_ms: u64,
 }
 
-/// What an agent says of the endpoint beside it.
+/// Load of an endpoint, as reported by the agent beside it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// Requests that the endpoint works on.
+    /// Requests that the endpoint is processing.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests queued at the endpoint.
     pub waiting: u32,
-    /// Whether it takes new requests, i.e. is not about to load other weights.
+    /// Whether the endpoint accepts new requests; false when it is about to load other weights.
     pub is_accepting: bool,
-    /// The version of each model of which it holds all layers.
+    /// Version of each model of which the endpoint holds all layers.
     pub weights: Vec<(SmolStr, u64)>,
-    /// Time until it serves the newest version, if it does not serve yet and that is known.
+    /// Time until the endpoint serves the newest version; `None` if it serves already or the time
+    /// is unknown.
     pub ready_in: Option<Duration>,
-    /// When it started, in milliseconds of the Unix epoch.
+    /// Start time of the process, in milliseconds of the Unix epoch.
     pub started_ms: u64,
-    /// Entries that have asked this agent or announced themselves lately.
+    /// Entries that have recently asked this agent for reports or announced themselves.
     pub entries: u32,
-    /// Those of them that are sent its reports, and so share the endpoint's free places.
+    /// Those of `entries` that are sent the reports and so share the endpoint's free places.
     pub readers: u32,
-    /// Whether the agent has listened long enough to have heard all entries.
+    /// Whether the agent has listened long enough for `entries` to include every entry.
     pub is_count_complete: bool,
-    /// The entry that the others of the agent's region follow.
+    /// The entry that the other entries of the agent's region follow.
     pub relay: Option<IpAddr>,
     /// The entry that watches the store for all regions.
     pub root: Option<IpAddr>,
 }
 
-/// How a report came.
+/// Timing and origin of a load report.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportTiming {
-    /// When it came.
+    /// When the report arrived.
     pub(super) received_at: Time,
-    /// When the ask was sent that it answers.
+    /// When the request that it answers was sent.
     pub(super) requested_at: Time,
-    /// Time there and back.
+    /// Round trip time of the request and its answer.
     pub(super) round_trip: Duration,
-    /// Whether it crossed a border of regions.
+    /// Whether the report comes from another region.
     pub(super) is_far: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Load {
     other_requests: u32,
-    /// Requests that this entry may still send on the strength of this report.
+    /// Requests that this entry may still send on the basis of this report.
     credits: u32,
     is_accepting: bool,
     readers: u32,
@@ -144,33 +150,34 @@
 }
 
 impl Load {
-    /// Whether the report still says something of the present load.
+    /// Whether the report still describes the present load.
     fn is_fresh(&self, now: Time) -> bool {
         let ttl = if self.timing.is_far { FAR_REPORT_TTL } else { REPORT_TTL };
         !now.passed(self.timing.received_at, ttl)
     }
 
-    /// Whether the agent has lately answered an ask.
+    /// Whether the agent has answered a recent report request.
     fn is_answering(&self, now: Time) -> bool {
         let ttl = if self.timing.is_far { FAR_REPORT_REQUEST_TTL } else { REPORT_REQUEST_TTL };
         !now.passed(self.timing.requested_at, ttl)
     }
 }
 
-/// An endpoint of the roster.
+/// An endpoint in the table of an entry.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     record: EndpointRecord,
     region: RegionName,
-    /// A fixed random number for the pair of this entry and the endpoint.
+    /// Fixed pseudo-random number of the pair of this entry and the endpoint, by which entries
+    /// choose different subsets.
     affinity: u64,
-    /// Whether this entry sends requests there and is sent its load reports.
+    /// Whether this entry sends requests to the endpoint and is sent its load reports.
     is_in_subset: bool,
-    /// Whether a later process listens at its address.
+    /// Whether a process that started later listens at the same address.
     is_superseded: bool,
     cold_until: Time,
     load: Option<Load>,
-    /// Requests of this entry that are there now.
+    /// Requests of this entry that the endpoint has not finished.
     in_flight: u32,
     pacer: ColdStartPacer,
     recent_sends: RecentSends,
@@ -179,7 +186,7 @@
 }
 
 impl Endpoint {
-    /// An endpoint of which only the list is known.
+    /// An endpoint known only from the platform's list.
     pub(super) fn new(
         record: EndpointRecord,
         region: RegionName,
@@ -202,78 +209,74 @@
         }
     }
 
-    /// What the list says of it.
+    /// The latest record, with the weights of the latest report where that is more recent.
     pub(super) fn record(&self) -> &EndpointRecord {
         &self.record
     }
 
-    /// What the list would say of it now, with the cold time that is left.
+    /// The record with the cold time that remains at `now`.
     pub(super) fn current_record(&self, now: Time) -> EndpointRecord {
         EndpointRecord { cold_remaining: self.cold_until.since(now), ..self.record.clone() }
     }
 
-    /// Its region.
     pub(super) fn region(&self) -> &RegionName {
         &self.region
     }
 
-    /// A fixed random number for the pair of this entry and the endpoint.
     pub(super) fn affinity(&self) -> u64 {
         self.affinity
     }
 
-    /// Whether this entry sends requests there and is sent its load reports.
     pub(super) fn is_in_subset(&self) -> bool {
         self.is_in_subset
     }
 
-    /// Sets whether this entry sends requests there.
     pub(super) fn set_in_subset(&mut self, is_in_subset: bool) {
         self.is_in_subset = is_in_subset;
     }
 
-    /// Whether an entry of the list is of the same process.
+    /// Whether a record belongs to the same process.
     pub(super) fn is_same_process(&self, record: &EndpointRecord) -> bool {
         self.record.started_ms == record.started_ms
             && self.record.address == record.address
             && self.record.service == record.service
     }
 
-    /// Takes in a later entry of the same process.
+    /// Applies a later record of the same process.
     pub(super) fn update(&mut self, record: EndpointRecord, now: Time) {
         self.cold_until = now + record.cold_remaining;
         let weights = std::mem::take(&mut self.record.weights);
-        // Nobody who leaves stays after all: whatever says so would bring requests to an endpoint that is
-        // about to stop.
+        // Draining is never undone: a stale record would send requests to an endpoint that is about
+        // to stop.
         let is_draining = self.record.is_draining || record.is_draining;
         self.record = EndpointRecord { is_draining, ..record };
-        // The list lags: an endpoint that has lost power is still shown with its weights for a heartbeat,
-        // and requests sent there come back refused.
+        // The list lags: for one heartbeat it still shows an endpoint that lost power with its
+        // weights, and requests sent there are refused.
         if self.load.as_ref().is_some_and(|load| load.is_fresh(now)) {
             self.record.weights = weights;
         }
     }
 
-    /// Whether a process that started at `born` is another one than this.
+    /// Whether a process that started at `started_ms` is known to be a different one.
     pub(super) fn is_other_process(&self, started_ms: u64) -> bool {
         started_ms != 0 && self.record.started_ms != 0 && self.record.started_ms != started_ms
     }
 
-    /// A process that started at `born` listens at its address. One that started later has taken its place.
+    /// Notes that a process that started at `started_ms` listens at the address. If it started
+    /// later, it has replaced this process.
     ///
-    /// The platform's list shows a process that has crashed for seconds beside the one that follows it.
+    /// For seconds the platform's list shows a crashed process beside its successor.
     pub(super) fn observe_process(&mut self, started_ms: u64) {
         self.is_superseded |=
             self.is_other_process(started_ms) && started_ms > self.record.started_ms;
     }
 
-    /// Whether a later process listens at its address.
     pub(super) fn is_superseded(&self) -> bool {
         self.is_superseded
     }
 
-    /// Its agent reported. Of the free places this entry may take `part`, and one more with the
-    /// probability of what is left over, as `draw` from 0 to 1 decides.
+    /// Applies a load report. This entry may take `share` of the free places, and one more with a
+    /// probability equal to the fraction left over, as `draw` from 0 to 1 decides.
     pub(super) fn apply_report(
         &mut self,
         report: &LoadReport,
@@ -294,7 +297,7 @@
         self.record.weights.clone_from(&report.weights);
     }
 
-    /// Requests that it may hold when one more is sent.
+    /// Requests that the endpoint may hold, including the one to be sent.
     fn capacity(&self, is_late: bool) -> u32 {
         let slots = self.record.slots;
         if is_late && self.record.is_engine {
@@ -303,8 +306,8 @@
         slots + MAX_QUEUED_REQUESTS
     }
 
-    /// Whether nothing speaks against sending it a request: no lost answers, no full link, and an
-    /// agent that reports if it ever did.
+    /// Whether the endpoint is fit for requests: it is not ejected, its link is not full, and its
+    /// agent still reports if it ever did.
     pub(super) fn is_available(&self, now: Time) -> bool {
         let is_reachable = self.load.as_ref().is_none_or(|load| {
             load.is_fresh(now) && load.is_answering(now) && load.timing.round_trip < MAX_ROUND_TRIP
@@ -312,21 +315,21 @@
         is_reachable && self.ejection.is_available(self.in_flight, now)
     }
 
-    /// Whether its agent says, now, that it holds a version of a model.
+    /// Whether a fresh report says that the endpoint holds `version` of `model`.
     pub(super) fn holds_version(&self, model: &str, version: u64, now: Time) -> bool {
         let is_fresh = self.load.as_ref().is_some_and(|load| load.is_fresh(now));
         let mut weights = self.record.weights.iter();
         is_fresh && weights.any(|(name, held)| name == model && *held == version)
     }
 
-    /// Time until it serves, if it does not serve yet and its agent knows.
+    /// Time until the endpoint serves; `None` if it serves already or no fresh report tells.
     pub(super) fn ready_in(&self, now: Time) -> Option<Duration> {
         let load = self.load.as_ref().filter(|load| load.is_fresh(now))?;
         Some(load.ready_at?.since(now))
     }
 
-    /// Whether it is warm, or it is this entry's turn to send it a request; `rate` is what a cold one
-    /// bears a second from all `entries`.
+    /// Whether the endpoint is warm or this entry's turn to send to it has come. `rate` is the
+    /// number of requests per second that a cold endpoint can handle from all `entries` together.
     pub(super) fn admits_while_cold(
         &mut self,
         rate: f64,
@@ -338,13 +341,13 @@
         !is_cold || self.pacer.may_send(rate, entries, draw, now)
     }
 
-    /// How long it stays cold, if it is.
+    /// Remaining cold time; `None` if the endpoint is warm.
     pub(super) fn cold_remaining(&self, now: Time) -> Option<Duration> {
         (self.cold_until > now).then(|| self.cold_until.since(now))
     }
 
-    /// Its load in requests; `None` while it is full. The other entries are taken to send there as often
-    /// as this one.
+    /// Load in requests; `None` while the endpoint is full. Without a fresh report, the other
+    /// entries are assumed to send as often as this one.
     pub(super) fn load(&mut self, entries: u32, is_late: bool, now: Time) -> Option<f64> {
         if self.backoff_until > now {
             return None;
@@ -361,13 +364,13 @@
         if busy >= self.capacity(is_late) {
             return None;
         }
-        // What waits on a slow link is as late as what waits in a queue.
+        // A request delayed by a slow link is as late as one that waits in a queue.
         let delay_in_requests =
             load.map_or(0.0, |load| load.timing.round_trip.div_duration_f64(SLOT_RELEASE_INTERVAL));
         Some(f64::from(busy) + delay_in_requests + self.prefilling_requests(entries, now))
     }
 
-    /// Requests of all entries that an engine is taken to be reading now.
+    /// Estimated requests of all entries whose prompts an engine is reading now.
     fn prefilling_requests(&mut self, entries: u32, now: Time) -> f64 {
         if !self.record.is_engine {
             return 0.0;
@@ -375,7 +378,7 @@
         self.recent_sends.count(PREFILL_TIME * entries, now) as f64 * f64::from(entries)
     }
 
-    /// A request goes there.
+    /// Records that a request is sent to the endpoint.
     pub(super) fn record_sent(&mut self, now: Time) {
         self.in_flight += 1;
         if let Some(load) = &mut self.load {
@@ -384,41 +387,42 @@
         if self.cold_until > now {
             self.pacer.record_sent(now);
         } else {
-            // The next cold spell draws its turns anew.
+            // The next cold period draws its turns anew.
             self.pacer = ColdStartPacer::default();
         }
         self.recent_sends.record_sent(now);
     }
 
-    /// A request has left it.
+    /// Records that a request has left the endpoint.
     pub(super) fn record_finished(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// It answered well.
+    /// Records a good answer, which ends an ejection.
     pub(super) fn record_success(&mut self) {
         self.ejection = Ejection::default();
     }
 
-    /// It failed a request, without an answer if `is_lost`.
+    /// Records a failed request; `is_lost` if no answer came.
     pub(super) fn record_failure(&mut self, is_lost: bool, now: Time) {
-        // An endpoint that is about to load cuts off what runs; that is no sign of ill health.
+        // An endpoint that is about to load weights cuts off running requests; that is no sign of a
+        // fault.
         if self.load.as_ref().is_none_or(|load| load.is_accepting) {
             self.ejection.record_failure(is_lost, now);
         }
     }
 
-    /// It refused a request as full, whatever its reports say.
+    /// Records that the endpoint refused a request as full. This outweighs its reports.
     pub(super) fn record_refusal(&mut self, now: Time) {
         self.backoff_until = now + FULL_BACKOFF;
     }
 
-    /// It said that a request was meant for another process or for other weights.
+    /// Records an answer that a request was meant for another process or for other weights.
     pub(super) fn record_misdirected(&mut self, now: Time) {
         self.backoff_until = now + MISDIRECTED_BACKOFF;
     }
 
-    /// All that is known of it now.
+    /// The known state as JSON, for the dump of an entry.
     pub(super) fn dump(&self, now: Time) -> serde_json::Value {
         let load = self.load.as_ref();
         serde_json::json!({
--- a/core/src/direct/endpoint_table.rs
+++ b/core/src/direct/endpoint_table.rs
@@ -1,7 +1,8 @@
-//! The endpoints that an entry may send to, and the choice among them.
+//! The endpoints that an entry may send requests to, and the choice among them.
 //!
-//! Three sources feed it: the platform's list (which endpoints exist and whether they leave), load
-//! reports of the agents (what runs there now, and which weights), and the entry's own requests.
+//! The table is updated from three sources: the platform's list (which endpoints exist and which
+//! are draining), load reports of agents (running requests and loaded weights), and the outcomes of
+//! this entry's own requests.
 
 mod selection;
 mod updates;
@@ -27,54 +28,55 @@
 use crate::ids::ZoneName;
 use crate::time::Time;
 
-/// Free places that all entries together may take for each one that a report shows. Entries that saw
-/// the same report each take a part; most have nothing to send just then, so the parts add up to more
-/// than one. With fewer, requests would go to other regions while places stay free.
+/// Factor by which the credits of all entries together exceed the free places in a report. Entries
+/// that saw the same report each take a share, and most have nothing to send just then. With a
+/// lower factor, requests would go to other regions while places stay free.
 const CREDIT_OVERCOMMIT: f64 = 3.0;
 
-/// How an entry relates to an engine.
+/// How an engine relates to an entry.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Reach {
-    /// It is in the entry's region.
+    /// In the entry's region.
     Near,
-    /// It is in another region and among those that the entry sends requests to.
+    /// In another region, and in the subset that the entry sends requests to.
     Far,
-    /// It is in another region and left to other entries.
+    /// In another region and outside that subset, so left to other entries.
     OutsideSubset,
 }
 
-/// What a request needs of an endpoint.
+/// What a request requires of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Requirements<'a> {
-    /// The service.
+    /// Service that the request is for.
     pub service: &'a ServiceName,
-    /// The model and the oldest version that may answer.
+    /// Model and the lowest version of it that may answer; `None` if any endpoint of the service
+    /// may.
     pub model: Option<(&'a str, u64)>,
-    /// Regions that may serve; empty lists do not bind.
+    /// Regions that may serve the request, as two lists that both apply; an empty list allows all.
     pub regions: [&'a [RegionName]; 2],
-    /// Endpoints already tried.
+    /// Endpoints that the request was already sent to.
     pub tried: &'a [EndpointKey],
-    /// Requests a second that a cold endpoint of the service bears.
+    /// Requests per second that a cold endpoint of the service can handle.
     pub cold_per_second: f64,
-    /// Whether the request can no longer be in time, and yields to those that can.
+    /// Whether the request can no longer be answered in time, and yields to those that can.
     pub is_late: bool,
 }
 
-/// Why no endpoint can be had.
+/// Why no endpoint can be chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Unavailable {
-    /// None that could serve it exists.
+    /// No endpoint meets the requirements.
     NoEndpoint,
-    /// All that could serve it are full.
+    /// All endpoints that meet them are full.
     Full,
-    /// Those that have room are cold, and bear no more requests yet.
+    /// Those with free places are cold, and their request rate is used up.
     Warming,
 }
 
 /// Result of choosing an endpoint.
 pub type Result<T> = std::result::Result<T, Unavailable>;
 
-/// All endpoints that an entry knows.
+/// The endpoints known to an entry, with their load and failures.
 #[derive(Debug)]
 pub struct EndpointTable {
     host: HostName,
@@ -84,19 +86,20 @@
     endpoints: Arena<Endpoint>,
     by_id: HashMap<SmolStr, EndpointKey>,
     by_service: HashMap<ServiceName, Vec<EndpointKey>>,
-    /// Several while the list shows a process that has crashed beside the one that follows it.
+    /// An address has several endpoints while the list shows a crashed process beside its
+    /// successor.
     by_address: HashMap<SocketAddr, Vec<EndpointKey>>,
-    /// Revision of the store up to which all changes of endpoints are known.
+    /// Store revision up to which all changes of endpoints are applied.
     as_of: Revision,
     evacuated: HashSet<ZoneName>,
-    /// The same for the zones that are out of service.
+    /// Store revision up to which all changes of `evacuated` are applied.
     evacuated_as_of: Revision,
     entries: u32,
     entry_count: EntryCount,
 }
 
 impl EndpointTable {
-    /// An empty roster of the entry on `host` in `zone`; `regions` gives the region of each zone.
+    /// An empty table for the entry on `host` in `zone`; `regions` maps each zone to its region.
     pub fn new(
         host: HostName,
         zone: ZoneName,
@@ -120,14 +123,15 @@
         }
     }
 
-    /// Ids of all endpoints.
+    /// Ids of all endpoints, in no particular order.
     pub fn ids(&self) -> impl Iterator<Item = &SmolStr> {
         self.by_id.keys()
     }
 
-    /// An agent reported on the endpoint at `address` in answer to what it was asked at `asked`, over
-    /// a way that took `round_trip` there and back. A report of a later process shows that the listed one is gone. `draw` from 0
-    /// to 1 decides whether this entry gets a place that is too few to share.
+    /// Applies the report of an agent on the endpoint at `address`. It answers a request sent at
+    /// `requested_at` and took `round_trip` to come. A report of a later process shows that the
+    /// listed one is gone. `draw` from 0 to 1 decides whether this entry gets a place where there
+    /// are too few to share.
     pub fn apply_report(
         &mut self,
         address: SocketAddr,
@@ -137,8 +141,8 @@
         draw: f64,
         now: Time,
     ) {
-        // All entries see a place that has become free at the same moment. If each took it, an endpoint
-        // that was just full would have a queue of as many requests as there are entries.
+        // All entries see a free place at the same moment. If each of them used it, an endpoint
+        // that was just full would get a queue of as many requests as there are entries.
         let share = (CREDIT_OVERCOMMIT / f64::from(report.readers.max(1))).min(1.0);
         let keys = self.by_address.get(&address).map(Vec::as_slice).unwrap_or_default();
         for key in keys {
@@ -154,12 +158,13 @@
         }
     }
 
-    /// The number of entries that share the bounds until an agent has counted them.
+    /// Sets the number of entries that share limits until an agent has counted them.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
-    /// An agent has counted the entries that ask it, all of them if `is_count_complete`.
+    /// Records an agent's count of the entries that contact it. Only a count with
+    /// `is_count_complete` includes all of them; others serve until the first such count.
     pub fn record_entry_count(&mut self, entries: u32, is_count_complete: bool, now: Time) {
         if is_count_complete {
             self.entry_count.record_count(entries, now);
@@ -167,17 +172,17 @@
         self.entries = self.entry_count.recent_max().unwrap_or(entries).max(1);
     }
 
-    /// The number of entries that agents have counted, `None` before the first count.
+    /// Highest recent complete count of the entries; `None` before the first one.
     pub fn counted_entries(&self) -> Option<u32> {
         self.entry_count.recent_max()
     }
 
-    /// The number of entries that share the bounds.
+    /// Number of entries that share limits, at least 1.
     pub fn entries(&self) -> u32 {
         self.entries
     }
 
-    /// All engines, and how this entry relates to each.
+    /// All engines, with how each relates to this entry.
     pub fn engines(&self) -> impl Iterator<Item = (&EndpointRecord, Reach)> + '_ {
         let engines = self.endpoints.iter().filter(|(_, endpoint)| endpoint.record().is_engine);
         engines.map(|(_, endpoint)| {
@@ -192,14 +197,14 @@
         })
     }
 
-    /// The engines of a service.
+    /// Records of the engines of a service.
     pub fn engines_of(&self, service: &ServiceName) -> impl Iterator<Item = &EndpointRecord> + '_ {
         let keys = self.by_service.get(service).map(Vec::as_slice).unwrap_or_default();
         let all = keys.iter().filter_map(|key| self.get(*key));
         all.filter(|record| record.is_engine)
     }
 
-    /// Addresses of the endpoints that hold a version of a model, as their agents say now.
+    /// Addresses of the endpoints whose fresh load reports show a version of a model.
     pub fn holders(&self, model: &str, version: u64, now: Time) -> Vec<SocketAddr> {
         let holders = self
             .endpoints
@@ -208,13 +213,13 @@
         holders.map(|(_, endpoint)| endpoint.record().address).collect()
     }
 
-    /// Revision of an endpoint's entry, if it is known.
+    /// Store revision of an endpoint's record; `None` if the endpoint is unknown.
     pub fn revision_of(&self, id: &str) -> Option<Revision> {
         let endpoint = self.endpoints.get(*self.by_id.get(id)?)?;
         Some(endpoint.record().revision)
     }
 
-    /// Whether the endpoint at `address` is in this entry's region.
+    /// Whether the endpoint at `address` is in this entry's region; false if there is none.
     pub fn is_in_own_region(&self, address: SocketAddr) -> bool {
         let key = self.by_address.get(&address).and_then(|keys| keys.first());
         key.and_then(|key| self.endpoints.get(*key))
@@ -226,81 +231,82 @@
         self.by_address.contains_key(&address)
     }
 
-    /// All endpoints as the list shows them, with the cold time that is left.
+    /// Records of all endpoints, with the cold time that remains at `now`.
     pub fn records(&self, now: Time) -> impl Iterator<Item = EndpointRecord> + '_ {
         self.endpoints.iter().map(move |(_, endpoint)| endpoint.current_record(now))
     }
 
-    /// The zones to whose endpoints nothing may be sent.
+    /// Zones that are out of service, whose endpoints are sent no requests.
     pub fn evacuated(&self) -> impl Iterator<Item = &ZoneName> {
         self.evacuated.iter()
     }
 
-    /// What the list says of an endpoint.
+    /// Latest record of an endpoint; `None` once it has been removed.
     pub fn get(&self, key: EndpointKey) -> Option<&EndpointRecord> {
         self.endpoints.get(key).map(Endpoint::record)
     }
 
-    /// Whether an endpoint may still be sent to: it is listed, stays, and its zone is in service.
+    /// Whether requests may still be sent to an endpoint: it is listed and not draining, and its
+    /// zone is in service.
     pub fn is_routable(&self, key: EndpointKey) -> bool {
         let record = self.get(key);
         record.is_some_and(|record| !record.is_draining && !self.evacuated.contains(&record.zone))
     }
 
-    /// All endpoints as they are known now.
+    /// State of all endpoints as JSON, for the dump of an entry.
     pub fn dump(&self, now: Time) -> Vec<serde_json::Value> {
         self.endpoints.iter().map(|(_, endpoint)| endpoint.dump(now)).collect()
     }
 
-    /// Endpoints known.
+    /// Number of endpoints in the table.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether no endpoint is known.
+    /// Whether the table has no endpoints.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// A request goes to the endpoint.
+    /// Records that a request is sent to the endpoint.
     pub fn record_sent(&mut self, key: EndpointKey, now: Time) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.record_sent(now);
         }
     }
 
-    /// A request has left the endpoint.
+    /// Records that a request has left the endpoint.
     pub fn record_finished(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.record_finished();
         }
     }
 
-    /// The endpoint answered well.
+    /// Records a good answer of the endpoint, which ends an ejection.
     pub fn record_success(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.record_success();
         }
     }
 
-    /// The endpoint failed a request, with an answer of its own or, if `is_lost`, without one. After
-    /// several in a row it rests, unless nobody else is left.
+    /// Records a failed request, with an error from the endpoint itself or, if `is_lost`, without
+    /// an answer. Several in a row eject the endpoint, unless no other one is left.
     pub fn record_failure(&mut self, key: EndpointKey, is_lost: bool, now: Time) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.record_failure(is_lost, now);
         }
     }
 
-    /// The endpoint refused a request as full: it is spared for a while, as its load is not known
-    /// better than by reports that said otherwise.
+    /// Records that the endpoint refused a request as full. It backs off for a while, since its
+    /// reports had shown free places.
     pub fn record_refusal(&mut self, key: EndpointKey, now: Time) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.record_refusal(now);
         }
     }
 
-    /// The endpoint said that a request was meant for another process or for other weights: what is known
-    /// of it is out of date.
+    /// Records an answer that a request was meant for another process or for other weights. The
+    /// endpoint backs off, since its record is out of date.
     pub fn record_misdirected(&mut self, key: EndpointKey, now: Time) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.record_misdirected(now);
--- a/core/src/direct/endpoint_table/selection.rs
+++ b/core/src/direct/endpoint_table/selection.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint for a request.
+//! Selection of an endpoint for a request.
 
 use std::time::Duration;
 
@@ -15,13 +15,15 @@
 use crate::ids::ServiceName;
 use crate::time::Time;
 
-/// Load, in requests, that an endpoint of another zone of the region may have less before it is
-/// preferred, and one of another region: bytes that cross a region cost more than a place in a queue.
+/// Load, in requests, that an endpoint in another zone of the region must have less to be
+/// preferred.
 const ZONE_PENALTY: f64 = 1.0;
+/// The same for another region. It is higher, since bytes between regions cost more than a place in a queue.
 const REGION_PENALTY: f64 = 3.0;
 
 impl EndpointTable {
-    /// Chooses an endpoint with little load that may serve `need`. O(endpoints of the service).
+    /// Chooses an endpoint with little load that meets the requirements. O(endpoints of the
+    /// service).
     pub fn choose<R: Rng>(
         &mut self,
         requirements: &Requirements<'_>,
@@ -54,7 +56,8 @@
             let sample = if is_available { &mut available } else { &mut ejected };
             sample.offer(score, key, self.is_far(key), rng);
         }
-        // An endpoint that loses answers is worse than none while others are merely full.
+        // While other endpoints are merely full, refusing is better than an endpoint that loses
+        // answers.
         let chosen = if has_available { available.best() } else { ejected.best() };
         chosen.ok_or(match (has_match, has_cold) {
             (false, _) => Unavailable::NoEndpoint,
@@ -63,7 +66,8 @@
         })
     }
 
-    /// Time until the first endpoint of a service serves that does not serve yet, as agents know it.
+    /// Time until the first endpoint of a service that does not serve yet will; `None` if no agent
+    /// reports one.
     pub fn ready_in(&self, service: &ServiceName, now: Time) -> Option<Duration> {
         let keys = self.by_service.get(service)?;
         let routable = keys.iter().filter(|key| self.is_routable(**key));
@@ -109,7 +113,7 @@
             && has_weights
     }
 
-    /// Whether an endpoint is warm, or it is this entry's turn to send it a request.
+    /// Whether an endpoint is warm or this entry's turn to send to it has come.
     fn admits_while_cold<R: Rng>(
         &mut self,
         key: EndpointKey,
@@ -124,7 +128,7 @@
         })
     }
 
-    /// Load of an endpoint in requests, with a penalty for distance; `None` while it is full.
+    /// Load of an endpoint in requests, plus a penalty for distance; `None` while it is full.
     fn score(&mut self, key: EndpointKey, is_late: bool, now: Time) -> Option<f64> {
         let distance_penalty = self.distance_penalty(key)?;
         let load = self.endpoints.get_mut(key)?.load(self.entries, is_late, now)?;
--- a/core/src/direct/endpoint_table/updates.rs
+++ b/core/src/direct/endpoint_table/updates.rs
@@ -1,4 +1,4 @@
-//! What the store says of endpoints and zones, as the roster takes it in.
+//! Updates of the table from the store: records of endpoints, and zones that are out of service.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -17,28 +17,30 @@
 use crate::swarm::topology::key_of;
 use crate::time::Time;
 
-/// Engines of each other region that an entry sends requests to and is sent load reports of. With all of
-/// them, datagrams would grow with the product of entries and engines and fill the links between regions. A
-/// region's entries cover all engines of another several times over, as each draws its own.
+/// Engines in each other region that an entry sends requests to and gets load reports of. With all
+/// of them, datagrams would grow with the product of entries and engines and fill the links between
+/// regions. Each entry draws its own subset, so that the entries of a region together cover every
+/// engine of another one several times.
 const FAR_SUBSET_SIZE: usize = 8;
 
 impl EndpointTable {
-    /// All changes of endpoints up to this revision of the store are known.
+    /// Marks all changes of endpoints up to a store revision as applied.
     pub fn advance_as_of(&mut self, as_of: Revision) {
         self.as_of = self.as_of.max(as_of);
     }
 
-    /// Revision of the store up to which all changes of endpoints are known.
+    /// Store revision up to which all changes of endpoints are applied.
     pub fn as_of(&self) -> Revision {
         self.as_of
     }
 
-    /// Takes in all endpoints that the store lists as of a revision; those of `lapsed` stay if they are
-    /// known. Tells which ones are gone with it, or `None` if the list is older than what is known, which
-    /// then holds on.
+    /// Replaces the table by the endpoints that the store lists as of a revision; known endpoints
+    /// in `lapsed` stay. Returns the ids of the removed ones, or `None` if the list is older than
+    /// the table, which is then unchanged.
     ///
-    /// An older list, of an entry that the store turned away, would bring back endpoints that have left
-    /// since, and their callers would be cut off. What changes after it comes on its own.
+    /// An older list comes from an entry that the store has turned away. It would bring back
+    /// endpoints that have left since, and requests to them would be cut off. Changes after the
+    /// list are applied one by one.
     pub fn replace_all(
         &mut self,
         as_of: Revision,
@@ -63,9 +65,9 @@
         Some(removed)
     }
 
-    /// Adds an endpoint or takes in what changed of it. False if that is older than what is known.
+    /// Inserts or updates an endpoint. Returns false if the record is older than the table.
     pub fn upsert(&mut self, record: EndpointRecord, now: Time) -> bool {
-        // Changes up to there are known, and so is that the endpoint has gone since.
+        // Changes up to this revision are applied, so the endpoint has been removed since.
         let is_stale = record.revision <= self.as_of && !self.by_id.contains_key(&record.id);
         let count = self.by_id.len();
         let is_newer = !is_stale && self.apply_record(record, now);
@@ -102,7 +104,7 @@
         true
     }
 
-    /// Notes for all endpoints at an address which process started there last.
+    /// Marks all endpoints at an address that a later process there has replaced.
     fn mark_superseded(&mut self, address: SocketAddr) {
         let keys = self.by_address.get(&address).map(Vec::as_slice).unwrap_or_default();
         let start_of = |key: &EndpointKey| Some(self.endpoints.get(*key)?.record().started_ms);
@@ -116,16 +118,18 @@
         }
     }
 
-    /// An endpoint is gone, whose entry was last changed at `last`. It stays if it has come back since.
+    /// Removes an endpoint whose record was last changed at `last`. It stays if a newer record has
+    /// arrived since.
     pub fn remove(&mut self, id: &str, last: Revision) {
         self.remove_record(id, last);
         self.update_subset();
     }
 
-    /// Works out which engines of other regions this entry sends requests to. O(n log n).
+    /// Selects the engines of other regions that this entry sends requests to. O(n log n).
     ///
-    /// As many more as its own region lacks: with its zone out of service an entry would else share a few
-    /// engines of other regions with entries that have all of theirs, and its callers be refused first.
+    /// The subset grows by as many engines as the own region lacks. Otherwise, with its zone out of
+    /// service, an entry would share a few engines with the entries of other regions, which can use
+    /// all of theirs, and its callers would be refused first.
     fn update_subset(&mut self) {
         let mut far: HashMap<RegionName, Vec<(u64, EndpointKey)>> = HashMap::new();
         let mut unroutable = 0;
@@ -172,8 +176,9 @@
         }
     }
 
-    /// The zones to whose endpoints nothing may be sent, with all changes up to `as_of`. False if that is
-    /// older than what is known: it would send requests into a zone that was taken out since.
+    /// Sets the zones that are out of service, with all changes up to `as_of`. Returns false if
+    /// that is older than the present state, which would send requests into a zone that was taken
+    /// out since.
     pub fn set_evacuated(&mut self, zones: HashSet<ZoneName>, as_of: Revision) -> bool {
         if as_of < self.evacuated_as_of {
             return false;
@@ -184,7 +189,7 @@
         true
     }
 
-    /// Revision of the store up to which all changes of these zones are known.
+    /// Store revision up to which all changes of the zones out of service are applied.
     pub fn evacuated_as_of(&self) -> Revision {
         self.evacuated_as_of
     }
--- a/core/src/direct/lateness.rs
+++ b/core/src/direct/lateness.rs
@@ -1,25 +1,27 @@
-//! Which requests can no longer be answered in time, so that they yield to those that can.
+//! Detects requests that can no longer be answered in time, so that they yield to those that can.
 //!
-//! When all endpoints are full a request is refused, and its caller comes back a second later. Its
-//! objective has passed by then. Were it served like any other, it would take the place of one that can
-//! still be in time; that one is refused, comes back late as well, and soon most of what is served is late.
-//! With late ones yielding, more are answered in time and no more are refused in the end.
+//! When all endpoints are full a request is refused, and its caller retries a second later, when
+//! its latency objective has passed. Served like any other, the retry would take the place of a
+//! request that can still be in time; that one is refused and comes back late as well, until most
+//! of the requests served are late. When late requests yield, more are answered in time, and in the
+//! end no more are refused.
 //!
-//! Callers do not say that they come back. They say how long they still wait, and those of one route wait
-//! about equally long at first, so one that waits much shorter has used up the rest.
+//! Callers do not mark retries, but they state how long they still wait. Callers of one route start
+//! with about the same time, so a caller with much less has used up the difference.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Objectives that a caller has used up for certain before it counts as late. Callers of one route differ
-/// in their patience by about two objectives.
+/// Latency objectives that a caller must have used up to count as late. The time that callers of
+/// one route allow differs by about two objectives.
 const LATE_AFTER_OBJECTIVES: u32 = 2;
 
-/// How long the longest wait of a route is remembered: for one to two of these spans.
+/// Length of a window. The maximum covers the current and the previous window, so it is kept for
+/// one to two of them.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// The longest time that callers of one route were still willing to wait, of late.
+/// Maximum of the recent remaining times of one route's callers, over two windows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LongestDeadline {
     window_start: Time,
@@ -28,7 +30,7 @@
 }
 
 impl LongestDeadline {
-    /// Takes in a caller that still waits for `left`; says whether it is late for `objective`.
+    /// Records a caller with `remaining` time and returns whether it is late for `objective`.
     pub fn is_late(&mut self, remaining: Duration, objective: Duration, now: Time) -> bool {
         if now.passed(self.window_start, WINDOW) {
             let is_recent = !now.passed(self.window_start, WINDOW * 2);
--- a/core/src/direct/retry_after.rs
+++ b/core/src/direct/retry_after.rs
@@ -1,30 +1,32 @@
-//! When a refused caller is asked to come back.
+//! Delays after which refused callers are asked to return (`Retry-After`).
 //!
-//! A caller that returns too early is refused once more, and most return once only. So the answer follows
-//! from why it was refused and from what is known of when that ends, and is spread at random: callers
-//! that are refused together must not return together.
+//! A caller that returns too early is refused once more, and most callers return only once. The
+//! delay therefore depends on the cause of the refusal and on what is known of its end. It is
+//! spread at random, so that callers refused together do not return together.
 
 use std::ops::Range;
 use std::time::Duration;
 
-/// Seconds after which another entry or endpoint may serve the caller at once.
+/// Delay in seconds where another entry or endpoint may serve the caller at once.
 const SHORT_DELAY_S: Range<f64> = 0.15..0.45;
 
-/// The same while all endpoints are full. Whoever is refused then is late when it returns. Most bursts last
-/// for a second or more: callers that return as soon as above come back into the same burst.
+/// Delay in seconds while all endpoints are full. A caller refused then is late when it returns.
+/// Most bursts last a second or longer, so callers that return after [`SHORT_DELAY_S`] would meet
+/// the same burst.
 const FULL_DELAY_S: Range<f64> = 1.0..1.9;
 
-/// The same of an entry that has just started. It is sent callers only while most entries of its zone start,
-/// and endpoints have to be found and may have to load.
+/// Delay in seconds from an entry that has just started. Such an entry is sent callers only while
+/// most entries of its zone are starting, and then endpoints have yet to be discovered and may have
+/// to load.
 const STARTING_DELAY_S: Range<f64> = 0.8..1.8;
 
-/// Seconds over which callers return from the moment at which the first endpoint serves again: the others
-/// follow it.
+/// Seconds over which callers are spread from the moment at which the first endpoint serves again;
+/// the other endpoints follow it.
 const RETURN_SPREAD_S: f64 = 1.0;
 
-/// Part of a caller's time after which it returns when nobody may serve it and it is not known for how long.
-/// Weights are loaded, a zone is cut off, endpoints start again: that lasts seconds, and callers wait for up
-/// to a third of their time.
+/// Fraction of a caller's remaining time after which it returns when no endpoint may serve it and
+/// the end of that is unknown. Loading weights, a zone that is cut off and restarts of endpoints
+/// take seconds, so callers wait for up to a third of their time.
 const UNKNOWN_DELAY_SHARE: Range<f64> = 0.25..0.33;
 
 /// Why a caller was refused.
@@ -32,28 +34,29 @@
 pub enum RefusalCause {
     /// The entry has just started.
     Starting,
-    /// The entry's lease on its configuration has lapsed.
+    /// The entry's lease on its configuration has expired.
     NoLease {
-        /// Whether another entry of its region still has one.
+        /// Whether another entry of its region still holds a lease.
         is_held_in_region: bool,
     },
     /// All endpoints are full.
     Full,
-    /// The endpoints that have room have just started and bear no more yet.
+    /// The endpoints with free places have just started, and their request rate is used up.
     Warming {
-        /// Time until the first of them bears what it can.
+        /// Time until the first of them is warm.
         warm_in: Duration,
     },
-    /// No endpoint may serve it.
+    /// No endpoint may serve the request.
     NoEndpoint {
-        /// Time until the first one does, if that is known.
+        /// Time until the first one may; `None` if unknown.
         ready_in: Option<Duration>,
     },
-    /// Whatever else has kept this entry from serving it.
+    /// Any other cause.
     Other,
 }
 
-/// The time after which a caller with `left` of its time is asked to come back; `draw` from 0 to 1 spreads it.
+/// Delay after which a caller with `remaining` time is asked to return; `draw` from 0 to 1 spreads
+/// it.
 pub fn retry_after(cause: RefusalCause, remaining: Duration, draw: f64) -> Duration {
     let sample = |range: &Range<f64>| range.start + (range.end - range.start) * draw;
     let short = sample(&SHORT_DELAY_S);
--- a/core/src/direct/sampling.rs
+++ b/core/src/direct/sampling.rs
@@ -1,19 +1,21 @@
-//! Picks one endpoint among many: the better of two drawn at random, near ones first.
+//! Power-of-two-choices sampling: draws two endpoints at random from each of two groups, those of
+//! the own region and the others, and picks the one with the lowest score.
 //!
-//! All entries see nearly the same load reports, which are 100 to 200 ms old. Were each to take the
-//! endpoint with the least load, all would take the same one until its next report, and its prompts would
-//! queue for half a second while others idle. Two random choices spread what comes between two reports
-//! over all endpoints, and still keep away from the busy ones.
+//! All entries see nearly the same load reports, which are 100 to 200 ms old. If each took the
+//! endpoint with the least load, all would take the same one until its next report, and its prompts
+//! would queue for half a second while other endpoints idle. Two random choices spread the requests
+//! between two reports over all endpoints and still avoid the busy ones.
 
 use rand::Rng;
 use rand::RngExt;
 
 use super::endpoint::EndpointKey;
 
-/// Endpoints compared from each group. With more of them, entries agree too often.
+/// Endpoints sampled from each group. With a larger sample, entries pick the same endpoint too
+/// often.
 const SAMPLE_SIZE: usize = 2;
 
-/// A random sample of the endpoints of one group.
+/// A uniform random sample of the endpoints of one group, by reservoir sampling.
 #[derive(Clone, Copy, Debug, Default)]
 struct Reservoir {
     offered: usize,
@@ -21,7 +23,7 @@
 }
 
 impl Reservoir {
-    /// Reservoir sampling: each endpoint offered is kept with the same probability.
+    /// Adds a candidate. Every candidate offered is in the sample with the same probability.
     fn offer<R: Rng>(&mut self, score: f64, key: EndpointKey, rng: &mut R) {
         let index = if self.offered < SAMPLE_SIZE {
             self.offered
@@ -35,7 +37,7 @@
     }
 }
 
-/// Endpoints among which one is picked, those of the own region and the others apart.
+/// Samples of the candidates in the own region and in other regions.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct CandidateSample {
     near: Reservoir,
@@ -43,7 +45,7 @@
 }
 
 impl CandidateSample {
-    /// An endpoint may be picked; a lower score is better.
+    /// Adds a candidate; a lower score is better.
     pub(super) fn offer<R: Rng>(
         &mut self,
         score: f64,
@@ -55,7 +57,7 @@
         group.offer(score, key, rng);
     }
 
-    /// The best of the endpoints drawn.
+    /// The sampled candidate with the lowest score of both groups; `None` if none was offered.
     pub(super) fn best(&self) -> Option<EndpointKey> {
         let sampled = self.near.sampled.iter().chain(&self.far.sampled).flatten();
         sampled.min_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, key)| *key)
--- a/core/src/direct/shares.rs
+++ b/core/src/direct/shares.rs
@@ -1,18 +1,18 @@
-//! One entry's share of bounds that hold over all entries together.
+//! One entry's share of limits that hold for all entries together.
 //!
-//! Entries do not ask each other before each request. Each keeps to a share of the bound, worked out
-//! from the number of entries it knows, so that the shares add up to less than the bound as long as
-//! no entry knows of fewer than half of them.
+//! Entries do not coordinate before each request. Each keeps to a share computed from the number of
+//! entries that it has been told of, and the shares add up to less than the limit as long as every
+//! entry counts at least half of them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// The part of a bound that the shares add up to. The rest covers entries that are not known yet.
+/// Fraction of a limit that the shares add up to. The rest covers entries that are not counted yet.
 const USED_SHARE: f64 = 0.6;
 
-/// Attempts beyond the first of each request, over a sliding window.
+/// Limit on retries, as a ratio of first attempts within a sliding window.
 #[derive(Clone, Debug)]
 pub struct SharedRetryBudget {
     ratio: f64,
@@ -23,7 +23,8 @@
 }
 
 impl SharedRetryBudget {
-    /// A budget of `ratio` repeats a first attempt, plus `slack` for all entries together.
+    /// A budget of `ratio` retries per first attempt, plus `slack` retries per window for all
+    /// entries together.
     pub fn new(ratio: f64, slack: f64, window: Duration) -> SharedRetryBudget {
         SharedRetryBudget {
             ratio,
@@ -34,13 +35,14 @@
         }
     }
 
-    /// A request made its first attempt.
+    /// Records the first attempt of a request.
     pub fn record_first_attempt(&mut self, now: Time) {
         drop_expired(&mut self.first_attempts, now, self.window);
         self.first_attempts.push_back(now);
     }
 
-    /// Takes one repeat, if this entry's share among `entries` has one left.
+    /// Takes one retry from the budget and returns true if this entry's share among `entries` has
+    /// one left.
     pub fn try_spend(&mut self, entries: u32, now: Time) -> bool {
         drop_expired(&mut self.first_attempts, now, self.window);
         drop_expired(&mut self.retries, now, self.window);
@@ -54,32 +56,33 @@
     }
 }
 
-/// Part of a cold endpoint's rate that the turns of all entries add up to. The bound itself lies at one
-/// and a half times the rate and more; the rest is for entries that are not counted yet.
+/// Fraction of a cold endpoint's rate that the turns of all entries add up to. The limit itself is
+/// at least one and a half times the rate; the rest covers entries that are not counted yet.
 const COLD_RATE_SHARE: f64 = 0.8;
 
-/// How long a turn may be used once it has come, if turns are more than a second apart. Turns that were
-/// kept would be used together, by all entries at once, as soon as the last endpoint that is not cold is
-/// gone. Where turns come more often there are few entries, and one kept turn each is within the bound.
+/// Time for which a turn stays usable if turns are more than [`MAX_KEPT_TURN_PERIOD`] apart. All
+/// entries would use saved turns at once, as soon as the last warm endpoint is gone.
 const TURN_TTL: Duration = Duration::from_millis(200);
+/// Longest period at which one turn may be saved. Such short periods mean few entries, and one saved turn of each
+/// stays within the limit.
 const MAX_KEPT_TURN_PERIOD: Duration = Duration::from_secs(1);
 
-/// When this entry may send to a cold endpoint.
+/// Paces the requests of this entry to a cold endpoint.
 ///
-/// An endpoint that has just started falls over under more than a few requests a second from all
-/// entries together. With more entries than requests a share is less than one, and if each rounded it
-/// up to one, all together would send one for each entry. So shares are dealt in time: an entry's
-/// turn comes once in as many seconds as there are entries for each request a second. Entries need not
-/// agree whose turn it is, as each draws where in that span its own turns lie.
+/// An endpoint that has just started crashes under more than a few requests per second from all
+/// entries together. With more entries than requests a share is less than one, and if every entry
+/// rounded it up, together they would send one request each. Shares are therefore spread over time:
+/// with `n` entries and a rate `r`, an entry's turn comes once in `n / r` seconds. Entries need not
+/// agree on an order, since each draws the offset of its own turns at random.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdStartPacer {
-    /// The moment from which the next turn is counted, and its distance from there in periods.
+    /// Reference time of the next turn, and its distance from there in periods.
     next_turn: Option<(Time, f64)>,
 }
 
 impl ColdStartPacer {
-    /// Whether a request may be sent now to an endpoint that bears `per_second` from `entries`. `draw`
-    /// from 0 to 1 places the first turn.
+    /// Whether a request may be sent now to an endpoint that can handle `per_second` requests from
+    /// all `entries`. `draw` from 0 to 1 sets the offset of the first turn.
     pub fn may_send(&mut self, per_second: f64, entries: u32, draw: f64, now: Time) -> bool {
         let period =
             Duration::from_secs_f64(f64::from(entries.max(1)) / (per_second * COLD_RATE_SHARE));
@@ -94,29 +97,29 @@
         period <= MAX_KEPT_TURN_PERIOD || !now.passed(opens_at, TURN_TTL)
     }
 
-    /// A request was sent: the turn is used.
+    /// Records a sent request, which uses the turn.
     pub fn record_sent(&mut self, now: Time) {
         let from = self.next_turn.map_or(now, |(opens_at, _)| opens_at);
         self.next_turn = Some((from, 1.0));
     }
 }
 
-/// Entries that share a bound, as long as nobody has counted them: as many as the largest fleet has.
+/// Number of entries assumed before any agent has counted them: as many as the largest fleet has.
 const ASSUMED_ENTRIES: u32 = 400;
 
-/// How long a count is believed. The highest one of this span holds: agents that have just started
-/// count few entries at first.
+/// Time for which a count outweighs later, lower ones, since agents that have just started count few
+/// entries at first.
 const COUNT_WINDOW: Duration = Duration::from_millis(2_000);
 
-/// How many entries share the bounds, from the counts that agents tell.
+/// Number of entries that share the limits, from the counts of agents.
 #[derive(Clone, Debug, Default)]
 pub struct EntryCount {
-    /// Counts that no later one reaches, oldest and highest first.
+    /// Counts that no later count reaches, oldest and highest first.
     counts: VecDeque<(Time, u32)>,
 }
 
 impl EntryCount {
-    /// An agent that has listened long enough has counted `entries`.
+    /// Records the count of an agent that has listened long enough to count all entries.
     pub fn record_count(&mut self, entries: u32, now: Time) {
         while self.counts.back().is_some_and(|(_, count)| *count <= entries) {
             self.counts.pop_back();
@@ -127,31 +130,31 @@
         }
     }
 
-    /// The highest count that is still believed, `None` before the first.
+    /// Highest recent count; `None` before the first one.
     pub fn recent_max(&self) -> Option<u32> {
         self.counts.front().map(|(_, count)| *count)
     }
 
-    /// Entries that a bound which must hold is shared among.
+    /// Number of entries among which a limit that must hold is divided.
     pub fn for_limits(&self) -> u32 {
         self.recent_max().unwrap_or(ASSUMED_ENTRIES).max(1)
     }
 }
 
-/// Requests that this entry sent to an endpoint lately.
+/// Times of this entry's recent requests to an endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct RecentSends {
     sent: VecDeque<Time>,
 }
 
 impl RecentSends {
-    /// How many within `window`.
+    /// Number of requests within `window`; older ones are dropped.
     pub fn count(&mut self, window: Duration, now: Time) -> usize {
         drop_expired(&mut self.sent, now, window);
         self.sent.len()
     }
 
-    /// One was sent.
+    /// Records a request.
     pub fn record_sent(&mut self, now: Time) {
         self.sent.push_back(now);
     }
--- a/core/tests/direct/endpoint_table.rs
+++ b/core/tests/direct/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The roster of endpoints.
+//! Tests of the endpoint table.
 
 mod ejection;
 mod selection;
@@ -25,7 +25,7 @@
 
 const SLOTS: u32 = 16;
 const ROUND_TRIP: Duration = Duration::from_millis(3);
-/// Gives an entry every place that is shared by drawing.
+/// Draw that grants an entry every place for which it decides.
 const DRAW: f64 = 0.99;
 
 fn now(ms: u64) -> Time {
@@ -71,7 +71,7 @@
     report_shared_by(1, running)
 }
 
-/// A report that as many entries share.
+/// Report of an endpoint whose free places `readers` entries share.
 fn report_shared_by(readers: u32, running: u32) -> LoadReport {
     LoadReport {
         running,
@@ -120,7 +120,7 @@
 
 fn chosen_id(table: &mut EndpointTable, at: Time) -> String {
     let key = choose(table, at).expect("an endpoint");
-    table.get(key).expect("on the roster").id.to_string()
+    table.get(key).expect("in the table").id.to_string()
 }
 
 fn choose_and_send(
--- a/core/tests/direct/endpoint_table/ejection.rs
+++ b/core/tests/direct/endpoint_table/ejection.rs
@@ -1,4 +1,4 @@
-//! Endpoints that fail requests.
+//! Ejection of endpoints that fail requests.
 
 use mastichaven_core::direct::endpoint::LoadReport;
 use mastichaven_core::direct::endpoint_table::Unavailable;
@@ -13,10 +13,10 @@
 use super::report;
 use super::table;
 
-// An endpoint goes dark: its connections hang. Each request that is sent there costs its caller more
-// than a second.
+// The connections of a failed endpoint hang. Each request sent to it delays its caller by more than
+// a second.
 #[test]
-fn failed_rests_an_endpoint_that_loses_answers() {
+fn record_failure_ejects_after_lost_answers() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     table.upsert(record(2, "serra"), now(0));
@@ -31,9 +31,9 @@
     assert_eq!(chosen_id(&mut table, now(30)), "i-2");
 }
 
-// After its rest the endpoint may still be bad. One request shows that as well as many.
+// An endpoint may still be faulty after its ejection. One request shows that as well as many.
 #[test]
-fn failed_lets_one_request_probe_after_the_rest() {
+fn record_failure_allows_one_request_after_ejection() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     table.upsert(record(2, "serra"), now(0));
@@ -51,10 +51,10 @@
     assert_eq!(chosen_id(&mut table, now(2_003)), id);
 }
 
-// The agent of an endpoint that is about to load cuts off what runs there. Resting it for that would
-// keep it idle for seconds after a load of a third of a second.
+// The agent of an endpoint that is about to load cuts off running requests. Ejecting it for that
+// would keep it idle for seconds after a load of a third of a second.
 #[test]
-fn failed_forgives_an_endpoint_that_loads() {
+fn record_failure_ignores_loading_endpoint() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     let key = choose(&mut table, now(0)).expect("an endpoint");
--- a/core/tests/direct/endpoint_table/selection.rs
+++ b/core/tests/direct/endpoint_table/selection.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to.
+//! Selection of an endpoint for a request.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -33,7 +33,7 @@
 use super::table;
 
 #[test]
-fn choose_prefers_the_least_load_then_the_own_zone() {
+fn choose_prefers_low_load_then_own_zone() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     table.upsert(record(2, "serra"), now(0));
@@ -44,10 +44,10 @@
     assert_eq!(chosen_id(&mut table, now(3)), "i-2");
 }
 
-// An engine has just loaded a version and is free. Eight entries that each see it as the least loaded
-// send it a burst of prompts, and all its streams pause while it reads them.
+// An engine becomes free after loading a version. Eight entries that each see it as the least
+// loaded one send it a burst of prompts, and all its streams pause while it reads them.
 #[test]
-fn choose_does_not_flood_an_engine_that_became_free() {
+fn choose_limits_requests_to_newly_free_engine() {
     let mut rng = rng();
     let mut to_free = 0;
     for _ in 0..8 {
@@ -71,14 +71,14 @@
             to_free += u32::from(table.get(key).expect("listed").id == "i-1");
         }
     }
-    // More than the equal share of 4, as it is free, and less than a prompt each 8 ms.
-    assert!((5..=12).contains(&to_free), "{to_free} of 32 within 0.1 s");
+    // More than the equal share of 4, since it is free, and less than one prompt per 8 ms.
+    assert!((5..=12).contains(&to_free), "{to_free} of 32 requests within 0.1 s");
 }
 
-// Requests that are sent between two reports are not in the reports. Without counting them, an entry
-// would send its whole burst to the endpoint that was least loaded a moment ago.
+// Requests sent since the last report are not in it. If an entry doesn't count them, its whole
+// burst goes to the endpoint that was least loaded before.
 #[test]
-fn choose_counts_own_requests_between_reports() {
+fn choose_counts_requests_sent_since_report() {
     let mut table = table();
     for n in 1..=4 {
         table.upsert(record(n, "lagoa"), now(0));
@@ -94,10 +94,10 @@
     assert!(sent.values().all(|count| (6..=10).contains(count)), "{sent:?}");
 }
 
-// A burst fills all endpoints. A request that waits behind more than a few others is late anyway, so
-// its caller is better told at once to come back.
+// A burst fills all endpoints. A request that waits behind more than a few others is late anyway,
+// so refusing it at once is better for its caller.
 #[test]
-fn choose_refuses_when_all_are_full() {
+fn choose_returns_full_when_queues_are_full() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     table.apply_report(
@@ -113,7 +113,7 @@
     assert!(choose(&mut table, now(3)).is_ok());
 }
 
-// An endpoint drains or its zone is taken out. A request sent there would be cut off when it stops.
+// A request sent to a draining endpoint or an evacuated zone is cut off when the endpoint stops.
 #[test]
 fn choose_avoids_draining_endpoints_and_evacuated_zones() {
     let mut table = table();
@@ -126,21 +126,21 @@
     assert_eq!(chosen_id(&mut table, now(3)), "i-1");
 }
 
-// An endpoint with an older version than allowed, or with none, would answer from wrong weights.
+// An endpoint with an older version than allowed, or with none, answers from wrong weights.
 #[test]
-fn choose_needs_the_weights() {
+fn choose_requires_model_version() {
     let mut table = table();
     table.upsert(EndpointRecord { weights: Vec::new(), ..record(1, "lagoa") }, now(0));
     assert_eq!(choose(&mut table, now(1)), Err(Unavailable::NoEndpoint));
-    // Its agent tells of the weights before the list does.
+    // The agent reports the weights before the list shows them.
     table.apply_report(address(1), &report(0), now(2), ROUND_TRIP, DRAW, now(2));
     assert!(choose(&mut table, now(3)).is_ok());
 }
 
-// The link of an endpoint is squeezed by weights or by the network. Requests reach it seconds later,
-// when their callers have left, and it works on them in vain.
+// The link of an endpoint is congested by weights or by the network. Requests reach the endpoint
+// seconds later, when their callers have left, and are processed in vain.
 #[test]
-fn choose_avoids_an_endpoint_behind_a_full_link() {
+fn choose_avoids_high_round_trip() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     table.upsert(record(2, "litoral"), now(0));
@@ -149,10 +149,10 @@
     assert_eq!(chosen_id(&mut table, now(1)), "i-2");
 }
 
-// Asks wait behind seconds of other bytes on the way to an agent. Its reports still come at once,
-// but they answer old asks.
+// Report requests queue behind seconds of other traffic on the way to an agent. Its reports still
+// arrive at once, but answer old requests.
 #[test]
-fn choose_avoids_an_endpoint_whose_agent_hears_nothing() {
+fn choose_avoids_agent_answering_old_requests() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     table.upsert(record(2, "litoral"), now(0));
@@ -161,10 +161,10 @@
     assert_eq!(chosen_id(&mut table, now(1_001)), "i-2");
 }
 
-// All agents are killed at once and report nothing, while the endpoints go on. Callers must not be
-// refused for that.
+// All agents stop at once while their endpoints keep running. The missing reports must not lead to
+// refusals.
 #[test]
-fn choose_goes_on_without_any_report() {
+fn choose_uses_endpoints_without_fresh_reports() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     table.upsert(record(2, "serra"), now(0));
@@ -173,9 +173,9 @@
     assert!(choose(&mut table, now(5_000)).is_ok());
 }
 
-// Under lasting overload all endpoints are full, and whenever a request ends all entries learn of the
-// place at the same moment. Were each to send a request there, the queue would be as long as there
-// are entries, first events would come after the objective, and callers would wait for late answers.
+// Under lasting overload all endpoints are full, and all entries see each free place at the same
+// moment. If each used it, the queue would be as long as there are entries, first events would miss
+// the objective, and callers would wait for late answers.
 #[test]
 fn choose_shares_last_place_among_entries() {
     let entries = 8;
@@ -187,38 +187,44 @@
             table.set_entries(entries);
             table.upsert(record(1, "lagoa"), now(0));
             let draw = f64::from((n * 7 + entry * 25) % 200) / 200.0;
-            let one_left = report_shared_by(entries, SLOTS + MAX_QUEUED_REQUESTS - 1);
-            table.apply_report(address(1), &one_left, now(0), ROUND_TRIP, draw, now(0));
+            let one_place_free = report_shared_by(entries, SLOTS + MAX_QUEUED_REQUESTS - 1);
+            table.apply_report(address(1), &one_place_free, now(0), ROUND_TRIP, draw, now(0));
             while let Ok(key) = choose(&mut table, now(1)) {
                 table.record_sent(key, now(1));
                 sent += 1;
             }
         }
     }
-    let a_report = f64::from(sent) / f64::from(reports);
-    assert!((1.0..=3.1).contains(&a_report), "{a_report} requests for one place");
+    let per_report = f64::from(sent) / f64::from(reports);
+    assert!((1.0..=3.1).contains(&per_report), "{per_report} requests for one place");
 }
 
-// Forty entries hear the same reports; one engine of thirty has just become nearly free. Until its next
-// report all of them prefer it, its prompts queue up, and their callers wait past their objective.
+// Forty entries get the same reports, and one of thirty engines has become nearly free. If all
+// entries prefer it until its next report, its prompts queue and their callers wait past their
+// objective.
 #[test]
-fn choose_does_not_send_all_entries_to_the_same_engine() {
+fn choose_spreads_entries_over_engines() {
     const ROUNDS: u32 = 200;
     const ENTRIES: u32 = 40;
-    // A prompt takes up to 60 ms to read; what comes after six at once is too late for 400 ms.
-    const IN_TIME: u32 = 6;
+    // Prompts that an engine can read within the objective of 400 ms if they arrive at once;
+    // reading one takes up to 60 ms.
+    const MAX_TIMELY_PROMPTS: u32 = 6;
     let mut rng = rng();
     let mut late = 0;
     for _ in 0..ROUNDS {
-        let counts = one_request_each(ENTRIES, 30, &mut rng);
-        late += counts.values().map(|count| count.saturating_sub(IN_TIME)).sum::<u32>();
+        let counts = count_requests_per_engine(ENTRIES, 30, &mut rng);
+        late += counts.values().map(|count| count.saturating_sub(MAX_TIMELY_PROMPTS)).sum::<u32>();
     }
-    // The aim is a first token in time for 95 in 100.
+    // The target is a first token in time for 95 % of the requests.
     assert!(late * 20 <= ROUNDS * ENTRIES, "{late} of {} late", ROUNDS * ENTRIES);
 }
 
-/// One request from each entry, all within a moment: how many each engine gets.
-fn one_request_each(entries: u32, engines: u8, rng: &mut ChaCha8Rng) -> HashMap<EndpointKey, u32> {
+/// Sends one request from each entry at the same time and counts the requests for each engine.
+fn count_requests_per_engine(
+    entries: u32,
+    engines: u8,
+    rng: &mut ChaCha8Rng,
+) -> HashMap<EndpointKey, u32> {
     let mut counts: HashMap<EndpointKey, u32> = HashMap::new();
     for _ in 0..entries {
         let mut table = table();
@@ -241,10 +247,10 @@
     counts
 }
 
-// Demand is above what the engines can serve, and callers that were refused come back. A place that
-// becomes free goes to a caller who can still be answered in time, not to one who is late already.
+// Demand exceeds capacity, and refused callers retry. A free place goes to a request that can still
+// be answered in time rather than to a late one.
 #[test]
-fn choose_keeps_last_places_from_late_requests() {
+fn choose_reserves_slots_from_late_requests() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     table.apply_report(address(1), &report(SLOTS - 1), now(0), ROUND_TRIP, DRAW, now(0));
@@ -254,9 +260,9 @@
     assert!(choose_for(&mut table, true, now(3), &mut rng()).is_ok());
 }
 
-// Callers refused beside cold endpoints were told that all are full, and came back before any was warm.
+// If refusals for cold endpoints report `Full`, callers return before any endpoint is warm.
 #[test]
-fn choose_distinguishes_cold_endpoints_from_full_ones() {
+fn choose_returns_warming_for_cold_endpoints() {
     let mut table = table();
     table.upsert(
         EndpointRecord { cold_remaining: Duration::from_secs(3), ..record(1, "lagoa") },
@@ -272,25 +278,25 @@
     assert_eq!(table.warm_in(&service, now(3_000)), Duration::ZERO);
 }
 
-// All agents were restarted and have heard only some of the entries. The few that they tell of would each
-// send a cold endpoint what is meant for all.
+// After a restart of all agents their counts include only some of the entries. If entries used them
+// for limits, each would send a cold endpoint the rate that is meant for all of them.
 #[test]
-fn entries_counted_leaves_bounds_until_the_count_is_complete() {
+fn record_entry_count_ignores_incomplete_count_for_limits() {
     let mut table = table();
     table.upsert(
         EndpointRecord { cold_remaining: Duration::from_secs(3), ..record(1, "lagoa") },
         now(0),
     );
     table.record_entry_count(1, false, now(0));
-    let sent = cold_sends(&mut table, 0);
+    let sent = sends_in_one_second(&mut table, 0);
     assert_eq!(table.entries(), 1);
     assert!(sent <= 1, "{sent} in a second");
     table.record_entry_count(1, true, now(1_000));
-    assert!(cold_sends(&mut table, 1_000) > 10);
+    assert!(sends_in_one_second(&mut table, 1_000) > 10);
 }
 
-/// Requests that the roster lets through within a second.
-fn cold_sends(table: &mut EndpointTable, from_ms: u64) -> u32 {
+/// Counts the requests that the table admits within a second.
+fn sends_in_one_second(table: &mut EndpointTable, from_ms: u64) -> u32 {
     let mut rng = rng();
     let mut sent = 0;
     for ms in from_ms..from_ms + 1_000 {
@@ -300,7 +306,7 @@
 }
 
 #[test]
-fn ready_in_is_that_of_the_first_endpoint() {
+fn ready_in_returns_earliest_endpoint() {
     let mut table = table();
     let service = ServiceName::new("redator");
     table.upsert(EndpointRecord { weights: Vec::new(), ..record(1, "lagoa") }, now(0));
@@ -312,6 +318,6 @@
         table.apply_report(address(n), &loading, now(10), ROUND_TRIP, DRAW, now(10));
     }
     assert_eq!(table.ready_in(&service, now(110)), Some(Duration::from_millis(500)));
-    // What an agent said a second ago no longer counts.
+    // A report that is a second old no longer counts.
     assert_eq!(table.ready_in(&service, now(1_110)), None);
 }
--- a/core/tests/direct/endpoint_table/subset.rs
+++ b/core/tests/direct/endpoint_table/subset.rs
@@ -1,4 +1,4 @@
-//! Which engines an entry sends requests to, and which hosts hold a version.
+//! Subset of engines that an entry sends requests to, and the holders of a version.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -19,73 +19,75 @@
 use super::table;
 use super::table_on;
 
-fn covering(host: &str, engines: u8) -> (EndpointTable, Vec<SocketAddr>) {
+fn table_with_subset(host: &str, engines: u8) -> (EndpointTable, Vec<SocketAddr>) {
     let mut table = table_on(host);
     for n in 1..=engines {
         table.upsert(record(n, "serra"), now(0));
     }
     let far = table.engines().filter(|(_, reach)| *reach == Reach::Far);
-    let covered = far.map(|(listed, _)| listed.address).collect();
-    (table, covered)
+    let subset = far.map(|(listed, _)| listed.address).collect();
+    (table, subset)
 }
 
-// Each entry is sent the reports of all engines of all regions, and the links between them are full.
+// If each entry gets the reports of all engines in all regions, these fill the links between
+// regions.
 #[test]
-fn engines_of_other_regions_are_covered_in_part() {
-    let (mut table, covered) = covering("entry-1", 40);
-    assert!((4..=12).contains(&covered.len()), "{covered:?}");
+fn engines_far_subset_is_limited() {
+    let (mut table, subset) = table_with_subset("entry-1", 40);
+    assert!((4..=12).contains(&subset.len()), "{subset:?}");
     for n in 1..=40 {
         table.apply_report(address(n), &report(0), now(1), ROUND_TRIP, DRAW, now(1));
     }
     let mut rng = rng();
     for ms in 2..60 {
         let key = choose_with(&mut table, now(ms), &mut rng).expect("an endpoint");
-        assert!(covered.contains(&table.get(key).expect("listed").address));
+        assert!(subset.contains(&table.get(key).expect("listed").address));
     }
 }
 
-// A region is out of service and its entries send all their requests to a few engines elsewhere.
+// If the entries of a region draw the same subset, they send all their requests to a few engines of
+// other regions while their own is out of service.
 #[test]
-fn engines_are_covered_by_the_entries_of_a_region_together() {
+fn engines_far_subsets_of_entries_include_all_engines() {
     let all: HashSet<SocketAddr> =
-        (0..20).flat_map(|n| covering(&format!("entry-{n}"), 40).1).collect();
+        (0..20).flat_map(|n| table_with_subset(&format!("entry-{n}"), 40).1).collect();
     assert_eq!(all.len(), 40);
 }
 
 #[test]
-fn engines_that_leave_are_replaced_among_the_covered() {
-    let (mut table, covered) = covering("entry-1", 40);
+fn engines_far_subset_replaces_removed_engine() {
+    let (mut table, subset) = table_with_subset("entry-1", 40);
     let gone = table.engines().find(|(_, reach)| *reach == Reach::Far).expect("one").0.id.clone();
     table.remove(&gone, Revision(9));
-    let now_covered = table.engines().filter(|(_, reach)| *reach == Reach::Far).count();
-    assert_eq!(now_covered, covered.len());
+    let subset_after = table.engines().filter(|(_, reach)| *reach == Reach::Far).count();
+    assert_eq!(subset_after, subset.len());
 }
 
-/// Engines of other regions that an entry sends requests to, of 20 in each of two.
-fn covered(table: &EndpointTable) -> usize {
+/// Number of far engines in the subset.
+fn subset_len(table: &EndpointTable) -> usize {
     table.engines().filter(|(_, reach)| *reach == Reach::Far).count()
 }
 
-// Guards against callers of a zone out of service who are refused while those of all others are served: its
-// entries knew a few engines of other regions, the entries there all of theirs.
+// With a zone out of service, its entries knew a few engines in other regions, while the entries
+// there knew all of theirs. Callers of the zone were refused while all others were served.
 #[test]
-fn engines_of_other_regions_are_covered_in_place_of_closed_ones() {
+fn engines_far_subset_grows_with_zone_out_of_service() {
     let mut table = table();
     for n in 0..20 {
         table.upsert(record(1 + n, "lagoa"), now(0));
         table.upsert(record(101 + n, "serra"), now(0));
         table.upsert(record(201 + n, "litoral"), now(0));
     }
-    assert_eq!(covered(&table), 16);
+    assert_eq!(subset_len(&table), 16);
     table.set_evacuated(HashSet::from([ZoneName::new("lagoa")]), Revision(2));
-    assert_eq!(covered(&table), 36);
+    assert_eq!(subset_len(&table), 36);
     table.set_evacuated(HashSet::new(), Revision(3));
-    assert_eq!(covered(&table), 16);
+    assert_eq!(subset_len(&table), 16);
 }
 
-// Guards against chunks that are asked of hosts of which only an old list says that they have them.
+// If an old list counts, chunks are requested from hosts that no longer hold them.
 #[test]
-fn holders_are_those_whose_agents_say_so() {
+fn holders_require_fresh_report() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     table.upsert(record(2, "lagoa"), now(0));
--- a/core/tests/direct/endpoint_table/updates.rs
+++ b/core/tests/direct/endpoint_table/updates.rs
@@ -1,4 +1,4 @@
-//! What the store says of endpoints and zones.
+//! Updates of the table from the store.
 
 use std::collections::HashSet;
 
@@ -18,24 +18,24 @@
 use super::report;
 use super::table;
 
-// An endpoint lost power and holds nothing; the list shows it as before for a while. Requests that
-// were sent there for the list's sake would come back refused.
+// An endpoint that lost power holds no weights, but the list shows them for a while. Requests sent
+// to it because of the list are refused.
 #[test]
-fn put_does_not_overrule_a_fresh_report() {
+fn upsert_keeps_weights_of_fresh_report() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     let empty = LoadReport { weights: Vec::new(), ..report(0) };
     table.apply_report(address(1), &empty, now(0), ROUND_TRIP, DRAW, now(0));
     table.upsert(record(1, "lagoa"), now(100));
     assert_eq!(choose(&mut table, now(101)), Err(Unavailable::NoEndpoint));
-    // Without reports the list is all there is.
+    // Without fresh reports the list is used.
     table.upsert(record(1, "lagoa"), now(2_000));
     assert!(choose(&mut table, now(2_001)).is_ok());
 }
 
-// An address is given to an endpoint of another service. The old entry must not be used with it.
+// An address moves to an endpoint of another service. The old record must not be used with it.
 #[test]
-fn put_starts_anew_when_the_address_changes() {
+fn upsert_replaces_endpoint_with_new_address() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     let before = choose(&mut table, now(0)).expect("an endpoint");
@@ -44,26 +44,26 @@
     assert_eq!(table.len(), 1);
 }
 
-// An entry reads that an endpoint leaves. Then it follows another entry, which was cut off from the store
-// just before and still has the endpoint as ready. Callers' requests must not go there again: the endpoint
-// stops within two seconds, and they would be cut off.
+// An entry reads that an endpoint is draining, then follows another entry that was cut off from the
+// store before and still has the endpoint as ready. Requests sent there are cut off when the
+// endpoint stops within two seconds.
 #[test]
-fn put_does_not_take_back_that_an_endpoint_leaves() {
+fn upsert_keeps_draining_state() {
     let mut table = table();
     let ready = record(1, "lagoa");
-    let leaving = EndpointRecord { is_draining: true, ..ready.clone() };
-    table.upsert(leaving, now(0));
+    let draining = EndpointRecord { is_draining: true, ..ready.clone() };
+    table.upsert(draining, now(0));
     table.upsert(ready.clone(), now(300));
     assert_eq!(choose(&mut table, now(301)), Err(Unavailable::NoEndpoint));
     table.upsert(EndpointRecord { started_ms: ready.started_ms + 1, ..ready }, now(5_000));
     assert!(choose(&mut table, now(5_001)).is_ok());
 }
 
-// An endpoint starts again under the id that it had, just after its entry lapsed. News of the lapse
-// comes late, from an entry that kept it for a while. The endpoint would get no requests until it
-// writes to the store again.
+// An endpoint restarts under its old id just after its record lapsed, and another entry reports the
+// lapse late. If that removes the new record, the endpoint gets no requests until it next writes to
+// the store.
 #[test]
-fn remove_spares_an_endpoint_that_is_back() {
+fn remove_keeps_endpoint_with_newer_record() {
     let mut table = table();
     table.replace_all(Revision(1), vec![record(1, "lagoa")], &[], now(0));
     table.remove("i-1", Revision(1));
@@ -73,10 +73,10 @@
     assert!(choose(&mut table, now(101)).is_ok());
 }
 
-// The list that an entry already knows changes of is told once more, change by change, by an entry that
-// reads it late. What has left since must not come back for the moment between two changes.
+// A follower that has a list gets the changes up to it once more from an entry that reads them
+// late. An endpoint that was removed since must not reappear until its removal is repeated.
 #[test]
-fn put_refuses_what_is_older_than_the_list() {
+fn upsert_rejects_record_older_than_list() {
     let mut table = table();
     table.replace_all(Revision(5), vec![record(1, "lagoa")], &[], now(0));
     let left = EndpointRecord { revision: Revision(3), ..record(2, "serra") };
@@ -90,9 +90,10 @@
     assert_eq!(choose(&mut table, now(4)), Err(Unavailable::NoEndpoint));
 }
 
-// A list of the same revision is taken in again: weights are read anew when the models have changed.
+// A list of the same revision is applied again: weights are parsed anew when the models have
+// changed.
 #[test]
-fn put_all_takes_a_list_of_the_same_revision() {
+fn replace_all_accepts_list_of_same_revision() {
     let mut table = table();
     let half = EndpointRecord { weights: Vec::new(), ..record(1, "lagoa") };
     assert!(table.replace_all(Revision(5), vec![half], &[], now(0)).is_some());
@@ -105,9 +106,9 @@
     assert_eq!(gone, Some(vec!["i-1".into()]));
 }
 
-// Two entries tell of the zones that are out of service, the one that knows less later.
+// Two entries send the zones that are out of service, and the older state arrives later.
 #[test]
-fn set_evacuated_keeps_what_is_newer() {
+fn set_evacuated_rejects_older_revision() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     let lagoa = HashSet::from([ZoneName::new("lagoa")]);
@@ -118,15 +119,15 @@
     assert!(choose(&mut table, now(2)).is_ok());
 }
 
-/// The process that follows `n` at its address, under an id of its own.
-fn restarted(n: u8, zone: &str) -> EndpointRecord {
+/// Record of the successor of endpoint `n`, at the same address under a new id.
+fn successor_record(n: u8, zone: &str) -> EndpointRecord {
     let weights = Vec::new();
     EndpointRecord { id: format!("i-{n}-again").into(), started_ms: 20, weights, ..record(n, zone) }
 }
 
-// Guards against requests to engines that lost power: the list shows the old process for seconds.
+// The list shows an engine that lost power for seconds, and requests are sent to the old process.
 #[test]
-fn choose_avoids_a_process_that_another_has_followed() {
+fn choose_avoids_superseded_process() {
     let mut table = table();
     table.upsert(EndpointRecord { started_ms: 10, ..record(1, "lagoa") }, now(0));
     let later = LoadReport { started_ms: 20, ..report(0) };
@@ -134,36 +135,38 @@
     assert_eq!(choose(&mut table, now(11)), Err(Unavailable::NoEndpoint));
 }
 
-// Guards against a restarted engine that serves again and gets nothing until the old entry lapses.
+// A restarted engine serves again, but gets no requests until the record of the old process lapses.
 #[test]
-fn choose_finds_the_process_that_followed_while_both_are_listed() {
+fn choose_uses_successor_while_both_are_listed() {
     let mut table = table();
     table.upsert(EndpointRecord { started_ms: 10, ..record(1, "lagoa") }, now(0));
-    table.upsert(restarted(1, "lagoa"), now(5));
+    table.upsert(successor_record(1, "lagoa"), now(5));
     assert_eq!(choose(&mut table, now(6)), Err(Unavailable::NoEndpoint));
     let loaded = LoadReport { started_ms: 20, ..report(0) };
     table.apply_report(address(1), &loaded, now(10), ROUND_TRIP, DRAW, now(10));
     assert_eq!(chosen_id(&mut table, now(11)), "i-1-again");
-    // Late news of the old process change nothing.
+    // A late record of the old process changes nothing.
     table.upsert(EndpointRecord { started_ms: 10, ..record(1, "lagoa") }, now(20));
     assert_eq!(chosen_id(&mut table, now(21)), "i-1-again");
     table.remove("i-1", Revision(1));
     assert_eq!(chosen_id(&mut table, now(31)), "i-1-again");
 }
 
-// Guards against entries of the list that come in the other order.
+// The records of a process and its successor may arrive in reverse order.
 #[test]
-fn put_does_not_prefer_an_old_process_that_is_listed_late() {
+fn upsert_keeps_successor_listed_before_old_process() {
     let mut table = table();
-    table
-        .upsert(EndpointRecord { weights: vec![("m".into(), 1)], ..restarted(1, "lagoa") }, now(0));
+    table.upsert(
+        EndpointRecord { weights: vec![("m".into(), 1)], ..successor_record(1, "lagoa") },
+        now(0),
+    );
     table.upsert(EndpointRecord { started_ms: 10, ..record(1, "lagoa") }, now(5));
     assert_eq!(chosen_id(&mut table, now(6)), "i-1-again");
 }
 
-// Guards against repeated requests to an endpoint whose address another process has.
+// Another process has the address of an endpoint, and requests to it are misdirected repeatedly.
 #[test]
-fn misdirected_spares_an_endpoint_until_the_list_has_changed() {
+fn record_misdirected_backs_off() {
     let mut table = table();
     table.upsert(record(1, "lagoa"), now(0));
     table.upsert(record(2, "serra"), now(0));
--- a/core/tests/direct/lateness.rs
+++ b/core/tests/direct/lateness.rs
@@ -13,19 +13,19 @@
     Time::from_millis(s * 1_000)
 }
 
-// A burst lasts for seconds, and callers that were refused come back in it. Taken for new ones, they
-// push out callers that could still be answered in time.
+// Callers that were refused in a burst of several seconds come back during it. Treated as new ones,
+// they displace callers that can still be answered in time.
 #[test]
-fn is_late_knows_callers_that_come_back() {
+fn is_late_detects_retries() {
     let mut longest = LongestDeadline::default();
     assert!(!longest.is_late(secs(6.0), OBJECTIVE, at(1)));
     assert!(!longest.is_late(secs(5.5), OBJECTIVE, at(1)));
     assert!(longest.is_late(secs(4.8), OBJECTIVE, at(2)));
 }
 
-// One caller with far more patience than all others must not make these late for ever.
+// One caller with a far longer timeout than all others must not make them late forever.
 #[test]
-fn is_late_forgets_an_unusual_caller() {
+fn is_late_expires_outlier() {
     let mut longest = LongestDeadline::default();
     assert!(!longest.is_late(secs(60.0), OBJECTIVE, at(1)));
     assert!(longest.is_late(secs(6.0), OBJECTIVE, at(2)));
@@ -33,9 +33,9 @@
     assert!(!longest.is_late(secs(6.0), OBJECTIVE, at(23)));
 }
 
-// After a quiet night the first callers are compared with nothing that is long gone.
+// After a long idle period, callers are not compared with those before it.
 #[test]
-fn is_late_starts_anew_after_a_pause() {
+fn is_late_resets_after_idle_period() {
     let mut longest = LongestDeadline::default();
     assert!(!longest.is_late(secs(60.0), OBJECTIVE, at(1)));
     assert!(!longest.is_late(secs(6.0), OBJECTIVE, at(100)));
--- a/core/tests/direct/main.rs
+++ b/core/tests/direct/main.rs
@@ -1,4 +1,4 @@
-//! Decisions of the direct path, without network.
+//! Tests of the decisions of the direct path, without a network.
 
 mod caches;
 mod catalog;
--- a/core/tests/direct/retry_after.rs
+++ b/core/tests/direct/retry_after.rs
@@ -3,33 +3,33 @@
 use mastichaven_core::direct::retry_after::RefusalCause;
 use mastichaven_core::direct::retry_after::retry_after;
 
-const LEFT: Duration = Duration::from_secs(6);
+const REMAINING: Duration = Duration::from_secs(6);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Times for callers that are refused together.
-fn times(cause: RefusalCause) -> Vec<Duration> {
-    (0..100).map(|n| retry_after(cause, LEFT, f64::from(n) / 100.0)).collect()
+/// Delays of callers that are refused together.
+fn delays(cause: RefusalCause) -> Vec<Duration> {
+    (0..100).map(|n| retry_after(cause, REMAINING, f64::from(n) / 100.0)).collect()
 }
 
-// Guards against callers that return while weights are still on their way, and are refused once more.
+// Callers that return while weights are still loading are refused again.
 #[test]
-fn retry_after_waits_for_the_first_endpoint_that_loads() {
-    let all = times(RefusalCause::NoEndpoint { ready_in: Some(ms(1_400)) });
-    assert!(all.iter().all(|time| *time >= ms(1_400)), "{:?}", all.iter().min());
-    assert!(all.iter().all(|time| *time <= ms(2_400)), "{:?}", all.iter().max());
+fn retry_after_waits_for_loading_endpoint() {
+    let all = delays(RefusalCause::NoEndpoint { ready_in: Some(ms(1_400)) });
+    assert!(all.iter().all(|delay| *delay >= ms(1_400)), "{:?}", all.iter().min());
+    assert!(all.iter().all(|delay| *delay <= ms(2_400)), "{:?}", all.iter().max());
 }
 
-// Guards against callers that return while every endpoint is still cold, and are refused once more.
+// Callers that return while every endpoint is still cold are refused again.
 #[test]
-fn retry_after_waits_for_the_first_endpoint_that_is_warm() {
-    let all = times(RefusalCause::Warming { warm_in: ms(1_700) });
-    assert!(all.iter().all(|time| (ms(1_700)..=ms(2_700)).contains(time)), "{all:?}");
+fn retry_after_waits_for_warm_endpoint() {
+    let all = delays(RefusalCause::Warming { warm_in: ms(1_700) });
+    assert!(all.iter().all(|delay| (ms(1_700)..=ms(2_700)).contains(delay)), "{all:?}");
 }
 
-// Guards against a wave of all callers of a blackout at the moment at which the first endpoint is back.
+// All callers of an outage would return at once when the first endpoint is back.
 #[test]
 fn retry_after_spreads_callers() {
     let causes = [
@@ -41,7 +41,7 @@
         RefusalCause::NoEndpoint { ready_in: Some(ms(500)) },
     ];
     for cause in causes {
-        let mut all = times(cause);
+        let mut all = delays(cause);
         all.sort();
         all.dedup();
         let span = all[all.len() - 1].saturating_sub(all[0]);
@@ -49,10 +49,10 @@
     }
 }
 
-// Guards against a long wait for what the entry next door could answer at once.
+// Callers would wait long for what another entry of the region can answer at once.
 #[test]
-fn retry_after_is_short_where_another_entry_has_a_lease() {
-    let near = times(RefusalCause::NoLease { is_held_in_region: true });
-    let nobody = times(RefusalCause::NoLease { is_held_in_region: false });
-    assert!(near.iter().max() < nobody.iter().min());
+fn retry_after_is_shorter_with_lease_in_region() {
+    let near = delays(RefusalCause::NoLease { is_held_in_region: true });
+    let none = delays(RefusalCause::NoLease { is_held_in_region: false });
+    assert!(near.iter().max() < none.iter().min());
 }
--- a/core/tests/direct/shares.rs
+++ b/core/tests/direct/shares.rs
@@ -15,10 +15,10 @@
 const SLACK: f64 = 104.0;
 
 proptest! {
-    // Endpoints fail many requests at once and every entry repeats what it may. Without shares the
-    // entries together would send an overloaded service more repeats than its bound.
+    // Endpoints fail many requests at once, and every entry retries as many as it may. Without
+    // shares, the entries together send an overloaded service more retries than the limit.
     #[test]
-    fn spend_keeps_all_entries_under_the_bound(
+    fn try_spend_keeps_entries_within_limit(
         entries in 1u32..60,
         requests in proptest::collection::vec((0usize..60, 0u64..20_000), 1..1_500),
     ) {
@@ -27,38 +27,43 @@
         let mut times: Vec<(u64, usize)> =
             requests.iter().map(|(entry, at)| (*at, entry % entries as usize)).collect();
         times.sort_unstable();
-        let mut spent = Vec::new();
+        let mut retry_times = Vec::new();
         for (at, entry) in &times {
             let now = Time::from_millis(*at);
             budgets[*entry].record_first_attempt(now);
             for _ in 0..3 {
                 if budgets[*entry].try_spend(entries, now) {
-                    spent.push(*at);
+                    retry_times.push(*at);
                 }
             }
         }
-        for from in &spent {
+        for from in &retry_times {
             let window = *from..*from + 10_000;
-            let repeats = spent.iter().filter(|at| window.contains(at)).count();
-            // The bound counts the requests of the window or of the one before it.
-            let firsts = times.iter().filter(|(at, _)| at + 10_000 >= *from && *at < from + 10_000);
-            let bound = RATIO * firsts.count() as f64 + SLACK;
-            prop_assert!(repeats as f64 <= bound, "{repeats} repeats, bound {bound}");
+            let retries = retry_times.iter().filter(|at| window.contains(at)).count();
+            // The limit counts the requests of this window and of the previous one.
+            let first_attempts = times.iter().filter(|(at, _)| at + 10_000 >= *from && *at < from + 10_000);
+            let limit = RATIO * first_attempts.count() as f64 + SLACK;
+            prop_assert!(retries as f64 <= limit, "{retries} retries, limit {limit}");
         }
     }
 }
 
-// A cold endpoint that gets its bound from each of eight entries falls over.
+// A cold endpoint that gets its full rate from each of eight entries crashes.
 #[test]
-fn may_send_shares_the_bound_of_a_cold_endpoint() {
-    let sent = sends(8, 36.0, 1, |_| true);
+fn may_send_divides_cold_rate_among_entries() {
+    let sent = simulate_sends(8, 36.0, 1, |_| true);
     let in_second = sent.iter().filter(|at| **at < 1_000).count();
-    assert!((24..=36).contains(&in_second), "{in_second} in a second");
+    assert!((24..=36).contains(&in_second), "{in_second} requests in the first second");
 }
 
-/// Milliseconds at which `entries` that all see the same cold endpoint send to it within 20 s, whenever
-/// `wants` says that they have something to send.
-fn sends(entries: u32, per_second: f64, seed: u64, wants: impl Fn(u64) -> bool) -> Vec<u64> {
+/// Milliseconds at which `entries` that all see the same cold endpoint send to it within 20 s, if
+/// they have requests whenever `wants` returns true.
+fn simulate_sends(
+    entries: u32,
+    per_second: f64,
+    seed: u64,
+    wants: impl Fn(u64) -> bool,
+) -> Vec<u64> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut pacers = vec![ColdStartPacer::default(); entries as usize];
     let mut sent = Vec::new();
@@ -74,46 +79,56 @@
     sent
 }
 
-fn most_in_a_second(sent: &[u64]) -> usize {
+fn max_per_second(sent: &[u64]) -> usize {
     let within = |from: &u64| sent.iter().filter(|at| (*from..*from + 1_000).contains(at)).count();
     sent.iter().map(within).max().unwrap_or(0)
 }
 
-/// Requests that a cold endpoint of 14 a second may get in one second: half as many more and five.
-const COLD_BOUND: usize = 26;
+/// Limit of requests in one second to a cold endpoint with a rate of 14 per second: the rate plus
+/// half of it plus five.
+const MAX_COLD_PER_SECOND: usize = 26;
 
-// All endpoints of a zone start again. Each of 40 entries sends the cold ones the one request a second
-// that its share is rounded up to, the endpoints fall over, and callers wait for them a second time.
+// All endpoints of a zone restart. If each of 40 entries rounds its share up to one request per
+// second, the cold endpoints crash and callers wait for them a second time.
 #[test]
-fn may_send_keeps_the_bound_at_any_number_of_entries() {
+fn may_send_holds_limit_for_any_entry_count() {
     for entries in [1, 6, 40, 148, 381] {
         for seed in 0..5 {
-            let sent = sends(entries, 14.0, seed, |_| true);
-            let most = most_in_a_second(&sent);
-            assert!(most <= COLD_BOUND, "{most} in a second from {entries} entries, seed {seed}");
+            let sent = simulate_sends(entries, 14.0, seed, |_| true);
+            let most = max_per_second(&sent);
+            assert!(
+                most <= MAX_COLD_PER_SECOND,
+                "{most} requests in one second from {entries} entries, seed {seed}"
+            );
             let mean = sent.len() as f64 / 20.0;
-            assert!(mean >= 7.0, "{mean} a second from {entries} entries leave the endpoint idle");
+            assert!(
+                mean >= 7.0,
+                "{mean} requests per second from {entries} entries leave the endpoint idle"
+            );
         }
     }
 }
 
-// Nobody sends to a cold endpoint while others have room. Then the last of those is lost, and every
-// entry turns to the cold one in the same moment.
+// No entry sends to a cold endpoint while others have free places. Then the last of those is lost,
+// and all entries turn to the cold one at the same moment.
 #[test]
-fn may_send_does_not_save_turns_up() {
+fn may_send_does_not_accumulate_turns() {
     for entries in [1, 6, 40, 148, 381] {
         for seed in 0..5 {
-            let sent = sends(entries, 14.0, seed, |ms| ms % 5_000 >= 4_000);
-            let most = most_in_a_second(&sent);
-            assert!(most <= COLD_BOUND, "{most} in a second from {entries} entries, seed {seed}");
+            let sent = simulate_sends(entries, 14.0, seed, |ms| ms % 5_000 >= 4_000);
+            let most = max_per_second(&sent);
+            assert!(
+                most <= MAX_COLD_PER_SECOND,
+                "{most} requests in one second from {entries} entries, seed {seed}"
+            );
         }
     }
 }
 
-// All entries and agents start again at once. An entry that hears no count yet must not take itself for
-// the only one.
+// All entries and agents restart at once. An entry without any count must not assume that it is the
+// only one.
 #[test]
-fn for_bounds_takes_many_entries_until_an_agent_has_counted() {
+fn for_limits_assumes_many_entries_before_first_count() {
     let mut count = EntryCount::default();
     let now = Time::from_millis;
     assert!(count.for_limits() >= 381);
@@ -121,9 +136,9 @@
     assert_eq!(count.for_limits(), 40);
 }
 
-// The agents are restarted one after the other and count few entries at first.
+// Agents restart one after the other and count few entries at first.
 #[test]
-fn for_bounds_goes_by_the_highest_count_of_late() {
+fn for_limits_uses_highest_recent_count() {
     let mut count = EntryCount::default();
     let now = Time::from_millis;
     count.record_count(40, now(0));
