--- a/core/src/direct/caches.rs
+++ b/core/src/direct/caches.rs
@@ -1,10 +1,10 @@
-//! Which entry hands out which chunk of a version.
+//! Assignment of a version's chunks to the entries that cache and serve them.
 //!
-//! An endpoint's host has a narrow link, and if hosts exchange chunks only among themselves, each chunk
-//! crosses two of those for every copy. Entries have wide links that are mostly idle. So for each chunk
-//! one entry of a region, named by rendezvous hashing, hands it to all hosts of the region. A few entries of
-//! the origin's region pull the version from the origin, and all others take it from them. The swarm among
-//! hosts goes on beside it and takes over what no entry can bring.
+//! Hosts of endpoints have low bandwidth, and an exchange of chunks among hosts uses two of these links per
+//! copy. Entries have high bandwidth that is mostly idle. Rendezvous hashing therefore assigns each chunk to one
+//! entry per region, which serves it to all hosts of the region. A few entries of the origin's region pull the
+//! version from the origin, and all other entries fetch it from them. The swarm among hosts runs in parallel
+//! and transfers chunks that no entry can provide.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -15,69 +15,71 @@
 use crate::swarm::topology::mix;
 use crate::time::Time;
 
-/// Entries that pull from the origin. Its link is narrow: were each chunk pulled by another entry, dozens of
-/// downloads would share it and all end at the same late moment.
-pub const PULLERS: usize = 4;
+/// Maximum number of entries that pull from the origin. With a different entry for each chunk, dozens of
+/// downloads would share the origin's low bandwidth and all complete late.
+pub const MAX_PULLERS: usize = 4;
 
-/// How long an entry that failed is passed over.
-const FAILED_FOR: Duration = Duration::from_secs(3);
+/// Time for which an entry is skipped after a failure.
+const FAILURE_COOLDOWN: Duration = Duration::from_secs(3);
 
-/// From whom a host takes a chunk.
+/// The entries through which a host fetches a chunk.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CacheRoute {
-    /// The entry of its region.
+    /// The entry of the host's region that serves the chunk.
     pub entry: IpAddr,
-    /// The entry that pulls it from the origin; `None` if the first one does that itself.
+    /// The entry that pulls the chunk from the origin; `None` if `entry` pulls it itself.
     pub puller: Option<IpAddr>,
 }
 
-/// The entries that hand out chunks, as one agent knows them.
+/// The entries that serve chunks, as seen by one agent.
 #[derive(Clone, Debug, Default)]
 pub struct Caches {
-    near: Vec<IpAddr>,
+    regional: Vec<IpAddr>,
     pullers: Vec<IpAddr>,
     failed: HashMap<IpAddr, Time>,
 }
 
 impl Caches {
-    /// Takes in the entries of the agent's region, and those of the origin's.
-    pub fn set(&mut self, near: Vec<IpAddr>, mut beside_origin: Vec<IpAddr>) {
-        self.failed.retain(|ip, _| near.contains(ip));
-        self.near = near;
-        beside_origin.sort_unstable_by_key(|ip| (hash_of(*ip), *ip));
-        beside_origin.truncate(PULLERS);
-        self.pullers = beside_origin;
+    /// Replaces the entries of the agent's region and those of the origin's region.
+    pub fn set(&mut self, regional: Vec<IpAddr>, mut in_origin_region: Vec<IpAddr>) {
+        self.failed.retain(|ip, _| regional.contains(ip));
+        self.regional = regional;
+        in_origin_region.sort_unstable_by_key(|ip| (hash_of(*ip), *ip));
+        in_origin_region.truncate(MAX_PULLERS);
+        self.pullers = in_origin_region;
     }
 
-    /// An entry did not answer, or not with the chunk.
-    pub fn failed(&mut self, entry: IpAddr, now: Time) {
+    /// Records that an entry did not respond, or responded without the chunk.
+    pub fn record_failure(&mut self, entry: IpAddr, now: Time) {
         self.failed.insert(entry, now);
     }
 
-    /// Whether any entry may be asked.
+    /// Whether any entry of the region is available.
     pub fn are_available(&self, now: Time) -> bool {
-        self.near.iter().any(|entry| self.is_sound(*entry, now))
+        self.regional.iter().any(|entry| self.is_available(*entry, now))
     }
 
-    /// Where the chunk of this digest comes from. O(entries).
+    /// The route of the chunk with this digest; `None` if no entry of the region is available. O(entries).
     pub fn route(&self, digest: Digest, now: Time) -> Option<CacheRoute> {
-        let sound = self.near.iter().copied().filter(|entry| self.is_sound(*entry, now));
-        let entry = owner(sound, digest)?;
+        let available =
+            self.regional.iter().copied().filter(|entry| self.is_available(*entry, now));
+        let entry = owner(available, digest)?;
         Some(CacheRoute { entry, puller: self.puller(digest).filter(|puller| *puller != entry) })
     }
 
-    /// The entry that pulls the chunk of this digest from the origin. O(1).
+    /// The entry that pulls the chunk with this digest from the origin; `None` if the origin's region has no
+    /// entries. O(1).
     pub fn puller(&self, digest: Digest) -> Option<IpAddr> {
         owner(self.pullers.iter().copied(), digest)
     }
 
-    fn is_sound(&self, entry: IpAddr, now: Time) -> bool {
-        self.failed.get(&entry).is_none_or(|at| now.passed(*at, FAILED_FOR))
+    fn is_available(&self, entry: IpAddr, now: Time) -> bool {
+        self.failed.get(&entry).is_none_or(|at| now.passed(*at, FAILURE_COOLDOWN))
     }
 }
 
-/// The entry with the lowest hash for a chunk: all who know the same entries name the same one, and few
-/// chunks change hands when one comes or goes.
+/// Selects the entry with the lowest hash for a chunk (rendezvous hashing). Processes with the same set of
+/// entries select the same one, and few chunks are reassigned when an entry is added or removed.
 fn owner(entries: impl Iterator<Item = IpAddr>, digest: Digest) -> Option<IpAddr> {
     entries.min_by_key(|ip| (mix(hash_of(*ip) ^ key_of(digest)), *ip))
 }
--- a/core/src/direct/catalog.rs
+++ b/core/src/direct/catalog.rs
@@ -1,4 +1,4 @@
-//! The configuration of the direct path: routes by host and prefix, customers by key.
+//! Configuration of the direct path: routes indexed by host and path prefix, customers indexed by key.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,63 +13,63 @@
 use crate::ids::RegionName;
 use crate::ids::ServiceName;
 
-/// What may be done again with a request whose outcome is not known.
+/// How a request may be retried when its outcome is unknown.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Repeat {
-    /// It may run any number of times.
+pub enum RetryPolicy {
+    /// The request may run any number of times.
     Idempotent,
-    /// It may run once.
-    Once,
-    /// Its answer is a stream of events, which another endpoint may continue after the last one.
+    /// The request may run at most once.
+    AtMostOnce,
+    /// The response is an event stream that another endpoint can resume after the last event.
     Resumable,
 }
 
-/// A share of a route's requests that goes to one service.
+/// A weighted target of a route.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Split {
-    /// The service.
+    /// Service that receives this part of the requests.
     pub service: ServiceName,
-    /// Its weight among the splits of the route.
+    /// Weight relative to the other splits of the route.
     pub weight: f64,
 }
 
-/// Where the requests of one host and path prefix go.
+/// Routing of the requests with one host and path prefix.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Route {
-    /// The name in logs.
+    /// Name of the route in logs.
     pub name: SmolStr,
-    /// The caller's `Host`, without a port.
+    /// Value of the caller's `Host` header, without a port.
     pub host: SmolStr,
-    /// Leading part of the path, which begins and ends with a slash.
+    /// Path prefix; it begins and ends with a slash.
     pub prefix: SmolStr,
-    /// What may be repeated.
-    pub repeat: Repeat,
-    /// Whether the answer is a stream of events.
+    /// How its requests may be retried.
+    pub retry_policy: RetryPolicy,
+    /// Whether the response is an event stream.
     pub is_stream: bool,
-    /// The longest time a caller is kept waiting.
+    /// Maximum time that a caller waits.
     pub timeout: Duration,
-    /// The latency that the operator aims at.
+    /// Latency objective set by the operator.
     pub objective: Duration,
-    /// Rank among routes; 0 goes first.
+    /// Priority among routes; 0 is the highest.
     pub rank: u32,
-    /// Endpoints that one request may be sent to at most.
+    /// Maximum number of endpoints that one request is sent to.
     pub max_attempts: u32,
-    /// Whether requests need no key.
-    pub is_open: bool,
-    /// Regions that may serve it; empty means all.
-    pub regions: Vec<RegionName>,
-    /// The services, with their weights.
+    /// Whether requests without a key are accepted.
+    pub allows_anonymous: bool,
+    /// Regions that may serve the route; empty means all.
+    pub allowed_regions: Vec<RegionName>,
+    /// Target services with their weights.
     pub splits: Vec<Split>,
 }
 
 impl Route {
-    /// The service for a request that drew `draw` from 0 to 1.
-    pub fn service(&self, draw: f64) -> Option<&ServiceName> {
+    /// Picks the service for a request by the random number `draw`, between 0 and 1.
+    pub fn pick_service(&self, draw: f64) -> Option<&ServiceName> {
         let total: f64 = self.splits.iter().map(|split| split.weight).sum();
-        let mut left = draw * total;
+        let mut remaining = draw * total;
         for split in &self.splits {
-            left -= split.weight;
-            if left < 0.0 {
+            remaining -= split.weight;
+            if remaining < 0.0 {
                 return Some(&split.service);
             }
         }
@@ -77,97 +77,97 @@
     }
 }
 
-/// A service and how its endpoints behave.
+/// A service and the properties that its endpoints share.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Service {
-    /// Its name.
+    /// Unique name of the service.
     pub name: ServiceName,
-    /// Requests a second that a cold endpoint bears; 0 means that it is never cold.
+    /// Capacity of a cold endpoint in requests per second; 0 means that endpoints need no slow start.
     pub cold_per_second: f64,
-    /// The model that its endpoints run, if it is one.
+    /// Model that the endpoints run; `None` unless this is a model service.
     pub model: Option<ModelShape>,
-    /// Where weights come from, if this service is an origin of weights.
+    /// Origin of weights that this service provides; `None` if it provides none.
     pub origin: Option<Origin>,
 }
 
-/// How the weights of a model service are cut.
+/// Dimensions of a model and of the chunks into which its weights are divided.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ModelShape {
-    /// The model.
+    /// Name of the model.
     pub name: SmolStr,
-    /// Layers of the model.
+    /// Number of layers.
     pub layers: u32,
-    /// Chunks of a version.
+    /// Number of chunks of each version.
     pub chunks: u32,
-    /// Bytes of a chunk.
+    /// Size of a chunk in bytes.
     pub chunk_len: u32,
 }
 
-/// An origin of weights.
+/// A server from which weights can be downloaded.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Origin {
-    /// Where it listens.
+    /// Address at which the origin listens.
     pub address: SocketAddr,
-    /// The zone it stands in.
+    /// Availability zone of the origin.
     pub zone: crate::ids::ZoneName,
 }
 
-/// What the agent of an endpoint has to know of its service to keep its weights.
+/// Settings that an endpoint's agent needs to maintain the weights of its service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ModelSetup {
-    /// The model.
+    /// Dimensions of the model.
     pub model: ModelShape,
-    /// Where its weights come from.
+    /// Origin of the weights; `None` if none is configured.
     pub origin: Option<Origin>,
-    /// Whether another endpoint can go on with every stream that is cut off.
+    /// Whether another endpoint can resume every interrupted stream of the service.
     pub is_resumable: bool,
 }
 
 impl ModelSetup {
-    /// A number that two setups share only if they are the same, but for one case in 4 billion.
-    pub fn id(&self) -> u32 {
+    /// A 32-bit hash of the setup. Different setups collide with a probability of one in 4 billion.
+    pub fn fingerprint(&self) -> u32 {
         let bytes = postcard::to_stdvec(self).unwrap_or_default();
         let digest = Digest::of(&bytes);
         u32::from_le_bytes([digest.0[0], digest.0[1], digest.0[2], digest.0[3]])
     }
 }
 
-/// What callers may send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
-    pub head_len: usize,
-    /// Bytes of a request's body.
-    pub body_len: usize,
-    /// Time for a head to arrive.
+    /// Maximum size of a request head in bytes.
+    pub max_head_len: usize,
+    /// Maximum size of a request body in bytes.
+    pub max_body_len: usize,
+    /// Maximum time to receive a request head.
     pub head_timeout: Duration,
-    /// Time a connection may stay idle.
+    /// Maximum time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
-/// A customer.
+/// A customer, identified by its keys.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Customer {
-    /// Its name, which endpoints are told.
+    /// Name of the customer; it is passed on to endpoints.
     pub name: CustomerName,
-    /// Its rank, which goes before that of routes.
+    /// Priority of the customer's requests; `None` means that the route's rank applies.
     pub rank: Option<u32>,
-    /// Regions that may serve it; empty means all.
-    pub regions: Vec<RegionName>,
+    /// Regions that may serve the customer; empty means all.
+    pub allowed_regions: Vec<RegionName>,
 }
 
-/// What a configuration holds, as one entry passes it on to another.
+/// A configuration in the form in which entries replicate it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CatalogParts {
-    /// The version; a higher one is newer.
+    /// Version of the configuration; a higher version is newer.
     pub version: u64,
-    /// The routes.
+    /// Routes of all hosts.
     pub routes: Vec<Route>,
-    /// The services.
+    /// Services that routes refer to.
     pub services: Vec<Service>,
-    /// The customers with their keys.
+    /// Customers, each with its keys.
     pub customers: Vec<(Customer, Vec<SmolStr>)>,
-    /// Bounds on what callers send.
+    /// Limits on requests and connections of callers.
     pub limits: CallerLimits,
 }
 
@@ -196,26 +196,26 @@
         for (n, route) in routes.iter().enumerate() {
             by_host.entry(route.host.clone()).or_default().push(n as u32);
         }
-        for list in by_host.values_mut() {
-            list.sort_by_key(|n| std::cmp::Reverse(routes[*n as usize].prefix.len()));
+        for indexes in by_host.values_mut() {
+            indexes.sort_by_key(|n| std::cmp::Reverse(routes[*n as usize].prefix.len()));
         }
         let mut by_key = HashMap::new();
-        let mut names = Vec::with_capacity(customers.len());
+        let mut without_keys = Vec::with_capacity(customers.len());
         for (n, (customer, keys)) in customers.into_iter().enumerate() {
-            names.push(customer);
+            without_keys.push(customer);
             by_key.extend(keys.into_iter().map(|key| (key, n as u32)));
         }
-        Catalog { version, routes, by_host, services, customers: names, by_key, limits }
+        Catalog { version, routes, by_host, services, customers: without_keys, by_key, limits }
     }
 
-    /// Indexes parts that came from another entry.
+    /// Indexes a configuration received from another entry. O(routes log routes + keys).
     pub fn from_parts(parts: CatalogParts) -> Catalog {
         let CatalogParts { version, routes, services, customers, limits } = parts;
         Catalog::new(version, routes, services, customers, limits)
     }
 
-    /// The parts of which it was made. O(routes + keys).
-    pub fn parts(&self) -> CatalogParts {
+    /// Returns the configuration without its indexes. O(routes + keys).
+    pub fn to_parts(&self) -> CatalogParts {
         let mut customers: Vec<(Customer, Vec<SmolStr>)> =
             self.customers.iter().map(|customer| (customer.clone(), Vec::new())).collect();
         for (key, n) in &self.by_key {
@@ -230,58 +230,58 @@
         }
     }
 
-    /// Its version; a higher one is newer.
+    /// Version of the configuration; a higher version is newer.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The route with the longest prefix of `path` among those of `host`. O(routes of the host).
+    /// Finds the route of `host` with the longest prefix of `path`. O(routes of the host).
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.by_host.get(host)?;
-        let found = routes.iter().map(|n| &self.routes[*n as usize]);
-        found.into_iter().find(|route| path.starts_with(route.prefix.as_str()))
+        let by_prefix_len = routes.iter().map(|n| &self.routes[*n as usize]);
+        by_prefix_len.into_iter().find(|route| path.starts_with(route.prefix.as_str()))
     }
 
-    /// The customer that holds `key`.
+    /// Finds the customer that owns `key`.
     pub fn customer(&self, key: &str) -> Option<&Customer> {
         self.by_key.get(key).map(|n| &self.customers[*n as usize])
     }
 
-    /// Whether requests need a key at all.
+    /// Whether any customer is configured. Without customers, requests need no key.
     pub fn has_customers(&self) -> bool {
         !self.customers.is_empty()
     }
 
-    /// The service of a name.
+    /// Finds a service by name. O(services).
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.iter().find(|service| service.name == *name)
     }
 
-    /// Whether every request of a service can be continued at another endpoint.
-    pub fn is_all_resumable(&self, service: &ServiceName) -> bool {
-        let leads_there = |route: &&Route| route.splits.iter().any(|s| s.service == *service);
-        let mut routes = self.routes.iter().filter(leads_there);
-        routes.all(|route| route.repeat == Repeat::Resumable)
+    /// Whether every route to `service` is resumable.
+    pub fn has_only_resumable_routes(&self, service: &ServiceName) -> bool {
+        let targets_service = |route: &&Route| route.splits.iter().any(|s| s.service == *service);
+        let mut routes = self.routes.iter().filter(targets_service);
+        routes.all(|route| route.retry_policy == RetryPolicy::Resumable)
     }
 
-    /// What agents of a service's endpoints have to know, if it runs a model.
-    pub fn setup(&self, service: &ServiceName) -> Option<ModelSetup> {
+    /// Settings for the agents of a service's endpoints; `None` unless the service runs a model.
+    pub fn model_setup(&self, service: &ServiceName) -> Option<ModelSetup> {
         let model = self.service(service)?.model.clone()?;
         let origin = self.origin().cloned();
-        Some(ModelSetup { model, origin, is_resumable: self.is_all_resumable(service) })
+        Some(ModelSetup { model, origin, is_resumable: self.has_only_resumable_routes(service) })
     }
 
-    /// All services.
+    /// All services, in the order of the configuration.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.iter()
     }
 
-    /// The origin of weights, if there is one.
+    /// The first configured origin of weights; `None` if there is none.
     pub fn origin(&self) -> Option<&Origin> {
         self.services.iter().find_map(|service| service.origin.as_ref())
     }
 
-    /// Bounds on what callers send.
+    /// Limits on requests and connections of callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
--- a/core/src/direct/events.rs
+++ b/core/src/direct/events.rs
@@ -1,31 +1,33 @@
-//! Cuts a stream of events into whole events and remembers the id of the last one passed on.
+//! Splits a byte stream into complete server-sent events and tracks the id of the last one.
 //!
-//! An endpoint may break off in the middle of an event. Only whole events are passed on, so that
-//! another endpoint can continue after the last id and the caller sees each event once.
+//! A connection to an endpoint may fail in the middle of an event. Only complete events are forwarded, so that
+//! another endpoint can resume after the last id and the caller receives each event exactly once.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 use smol_str::SmolStr;
 
-/// Bytes of one event at most; a longer one breaks the stream off, as it would fill the memory.
+/// Maximum size of an event in bytes. A longer event aborts the stream, which bounds memory use.
 pub const MAX_EVENT_LEN: usize = 256 << 10;
 
-/// Result of adding bytes.
+/// Result of splitting a stream.
 pub type Result<T> = std::result::Result<T, EventTooLong>;
 
 /// An event is longer than [`MAX_EVENT_LEN`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EventTooLong;
 
-/// Collects bytes until they make whole events.
+/// Buffers bytes until they form complete events.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     buf: BytesMut,
     last_id: Option<SmolStr>,
 }
 
-impl EventCutter {
-    /// Adds bytes and gives the whole events that they complete, `None` if there is none yet.
+impl EventSplitter {
+    /// Adds bytes and returns the events that they complete; `None` if there is no complete event yet.
+    ///
+    /// Fails if the incomplete event is longer than [`MAX_EVENT_LEN`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>> {
         let from = self.buf.len().saturating_sub(3);
         self.buf.extend_from_slice(bytes);
@@ -39,23 +41,23 @@
         Ok(Some(events))
     }
 
-    /// Id of the last whole event.
+    /// Id of the last complete event that had one; `None` if there was none.
     pub fn last_id(&self) -> Option<&SmolStr> {
         self.last_id.as_ref()
     }
 
-    /// Whether no part of an event waits for its rest.
+    /// Whether no incomplete event is buffered.
     pub fn is_at_boundary(&self) -> bool {
         self.buf.is_empty()
     }
 
-    /// Drops the begun event of a run that broke off; the next run sends it again.
+    /// Discards the incomplete event of an interrupted attempt; the next attempt sends it again.
     pub fn drop_partial(&mut self) {
         self.buf.clear();
     }
 }
 
-/// Index behind the last blank line of `bytes`.
+/// Index after the last blank line of `bytes`.
 fn scan_last_end(bytes: &[u8]) -> Option<usize> {
     let lf = bytes.windows(2).rposition(|w| w == b"\n\n").map(|at| at + 2);
     let crlf = bytes.windows(4).rposition(|w| w == b"\r\n\r\n").map(|at| at + 4);
--- a/core/src/direct/freshness.rs
+++ b/core/src/direct/freshness.rs
@@ -1,15 +1,15 @@
-//! How old the knowledge of an entry is.
+//! Lease that limits how long an entry may use its configuration without confirmation by the store.
 //!
-//! A key that an operator takes away must stop working on every entry within a bound, also on one
-//! that is cut off and hears nothing of it. So an entry acts on its configuration only while it can
-//! prove that the store confirmed it recently: a lease. The lease runs from the moment the confirmed
-//! read was *sent*, as a change may be accepted right after the store answered it.
+//! A key that an operator revokes must stop working on every entry within a bound, even on one that is
+//! partitioned from the store. An entry therefore uses its configuration only while it holds a lease, which each
+//! confirmed read of the store renews. The lease starts when the confirmed read was *sent*, because the store
+//! may accept a change right after it has answered the read.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Lease on the configuration.
+/// A lease on the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
     bound: Duration,
@@ -17,22 +17,22 @@
 }
 
 impl Freshness {
-    /// A lease that lapses `bound` after the last confirmed read was sent.
+    /// Creates a lease that expires `bound` after the last confirmed read was sent.
     pub fn new(bound: Duration) -> Freshness {
         Freshness { bound, confirmed: None }
     }
 
-    /// The store answered a read that was sent at `sent`. Older reads never shorten the lease.
+    /// Renews the lease after the store has answered a read sent at `sent`. An older read never shortens it.
     pub fn confirm(&mut self, sent: Time) {
         self.confirmed = self.confirmed.max(Some(sent));
     }
 
-    /// Whether the configuration may be acted on at `now`.
-    pub fn holds(&self, now: Time) -> bool {
+    /// Whether the lease is valid at `now`, so that the configuration may be used.
+    pub fn is_valid(&self, now: Time) -> bool {
         self.confirmed.is_some_and(|at| now.since(at) < self.bound)
     }
 
-    /// Age of the last confirmed read.
+    /// Time since the last confirmed read was sent; `None` before the first.
     pub fn age(&self, now: Time) -> Option<Duration> {
         self.confirmed.map(|at| now.since(at))
     }
--- a/core/src/direct/replication.rs
+++ b/core/src/direct/replication.rs
@@ -1,10 +1,10 @@
-//! The replication tree of the store's objects, and whether a replica is fresh enough.
+//! Replication tree that distributes store state to entries, and freshness limits of its replicas.
 //!
-//! Were each entry to watch the store for itself, calls to the store and bytes between regions would grow
-//! with the number of entries. So one entry of the fleet, the root, watches the store; one entry of each
-//! other region, its relay, follows the root, and the other entries of the region follow the relay. Which
-//! entries these are needs no agreement: agents tell their entries which of those that ask them may be
-//! followed, and two roots at once cost calls, nothing else.
+//! If each entry watched the store itself, store calls and traffic between regions would grow with the number
+//! of entries. Instead, one entry of the fleet, the root, watches the store. One entry of each other region,
+//! its relay, follows the root, and the other entries of the region follow the relay. Roles need no consensus:
+//! agents report to their entries which of the subscribed entries to follow, and two concurrent roots only
+//! cost additional store calls.
 
 use std::cmp::Reverse;
 use std::net::IpAddr;
@@ -24,303 +24,313 @@
 use crate::swarm::topology::key_of;
 use crate::time::Time;
 
-/// Something that an entry learns.
+/// A change of the replicated state.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Update {
-    /// The configuration.
+    /// The complete configuration.
     Config(Box<CatalogParts>),
-    /// All endpoints that there are.
+    /// A snapshot of all endpoints.
     Endpoints {
-        /// Revision of the store up to which all changes are in it.
+        /// Store revision of the snapshot; it includes all changes up to this revision.
         as_of: Revision,
-        /// Those that the store lists.
+        /// Endpoints that the store lists.
         listed: Vec<Listed>,
-        /// Those that it no longer lists, perhaps only because they could not renew their entry while
-        /// it was away. Whoever still knows them keeps them until more is known.
+        /// Ids of endpoints that the store no longer lists, possibly only because they could not renew their
+        /// record during a store outage. Replicas that still have them keep them until their state is known.
         lapsed: Vec<SmolStr>,
     },
-    /// An endpoint is new or has changed.
+    /// An endpoint was added or changed.
     EndpointPut(Box<Listed>),
-    /// An endpoint is gone.
-    EndpointGone {
-        /// Its id.
+    /// An endpoint was deleted.
+    EndpointRemoved {
+        /// Id of the endpoint.
         id: SmolStr,
-        /// Revision of its last entry: a higher one is of a later life.
-        last: Revision,
+        /// Revision of its last record. A record with a higher revision belongs to a later incarnation.
+        last_revision: Revision,
     },
-    /// All changes of endpoints up to this revision of the store have been sent.
-    EndpointsSeen(Revision),
-    /// All zones that are taken out of service.
-    Evacuated {
-        /// Revision of the store up to which all changes are in it.
+    /// Progress notification: all endpoint changes up to this store revision have been sent.
+    EndpointsProgress(Revision),
+    /// A snapshot of the zones that are out of service.
+    Evacuations {
+        /// Store revision of the snapshot; it includes all changes up to this revision.
         as_of: Revision,
-        /// The zones.
+        /// Zones that are out of service.
         zones: Vec<ZoneName>,
     },
-    /// A version of a model was named.
+    /// A version of a model was announced.
     Weights {
-        /// The model.
+        /// Name of the model.
         model: SmolStr,
-        /// The version.
+        /// The announced version.
         version: u64,
-        /// How long ago, if that is known.
-        ago: Option<Duration>,
+        /// Time since the announcement; `None` if unknown.
+        age: Option<Duration>,
     },
 }
 
-/// How old the knowledge of an entry is. That of the configuration counts from when the read was sent
-/// that the store answered last, as the lease on keys does; the rest counts from when it ended.
+/// Ages of an entry's replicated state, per kind; `None` if the entry has no data of that kind.
+///
+/// The age of the configuration counts from when the last successful read was sent, as the lease on keys does.
+/// The other ages count from when the read completed.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ages {
-    /// The configuration.
+    /// Age of the configuration.
     pub config: Option<Duration>,
-    /// The endpoints.
+    /// Age of the endpoint list.
     pub endpoints: Option<Duration>,
-    /// The zones that are out of service.
+    /// Age of the set of zones that are out of service.
     pub evacuations: Option<Duration>,
-    /// The weights.
+    /// Age of the current weight versions.
     pub weights: Option<Duration>,
 }
 
 /// The first message on a connection to an entry.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Hello {
-    /// Another entry follows this one.
+    /// Another entry subscribes to updates.
     Follow {
-        /// Its address.
+        /// Address of the follower.
         ip: IpAddr,
-        /// Version of the configuration that it has, which need not be sent again.
-        config: Option<u64>,
+        /// Version of the configuration that the follower has, so that it is not sent again.
+        config_version: Option<u64>,
     },
-    /// An agent asks once for the peers of its endpoint. The answer is a [`PeerList`].
+    /// An agent requests the peers of its endpoint. The response is a single [`PeerList`].
     Peers {
-        /// The service of its endpoint.
+        /// Service of the agent's endpoint.
         service: ServiceName,
-        /// Id of the list that it has; 0 if it has none.
-        known: u64,
+        /// Id of the agent's current list; 0 if it has none.
+        known_id: u64,
     },
-    /// An agent, or an entry of another region, asks for a chunk of weights.
+    /// An agent, or an entry of another region, requests a chunk of weights.
     Chunk(ChunkRequest),
 }
 
-/// Asks an entry for a chunk of weights.
+/// Request for a chunk of weights.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ChunkRequest {
-    /// The model.
+    /// Name of the model.
     pub model: SmolStr,
-    /// Its version.
+    /// Version of the model.
     pub version: u64,
-    /// The chunk's place in the version.
+    /// Index of the chunk within the version.
     pub index: u32,
     /// SHA-256 of the chunk.
     pub digest: Digest,
-    /// The entry that pulls it from the origin; `None` if the one that is asked is to do that.
+    /// The entry that pulls the chunk from the origin; `None` if the recipient of the request pulls it.
     pub puller: Option<IpAddr>,
-    /// Chunks that whoever pulls this one is to pull next, in this order: place and SHA-256.
+    /// Index and SHA-256 of the chunks that the puller fetches next, in this order.
     pub next: Vec<(u32, Digest)>,
 }
 
-/// An endpoint of a service, and where it stands.
+/// An endpoint of a service.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct PeerEndpoint {
-    /// Its address.
+    /// Address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the endpoint.
     pub zone: ZoneName,
 }
 
-/// The endpoints of a service.
+/// The endpoints of a service, identified by a hash of their addresses and zones.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PeerList {
-    /// Names this content.
+    /// Hash of the list's content, independent of its order.
     pub id: u64,
-    /// The endpoints; `None` if the agent has this list.
+    /// The endpoints; `None` if the agent already has this list.
     pub peers: Option<Vec<PeerEndpoint>>,
 }
 
 impl PeerList {
-    /// The list of `peers` for an agent that has the list `known`.
-    pub fn new(mut peers: Vec<PeerEndpoint>, known: u64) -> PeerList {
+    /// Creates the response for an agent whose current list has the id `known_id`.
+    pub fn new(mut peers: Vec<PeerEndpoint>, known_id: u64) -> PeerList {
         peers.sort();
         let text: Vec<String> =
             peers.iter().map(|peer| format!("{} {}", peer.address, peer.zone.as_str())).collect();
         let id = key_of(Digest::of(text.join("\n").as_bytes()));
-        PeerList { id, peers: Some(peers).filter(|_| id != known) }
+        PeerList { id, peers: Some(peers).filter(|_| id != known_id) }
     }
 }
 
-/// A message of an entry to one that follows it.
+/// A message from an entry to one of its followers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// A change.
+    /// A change of the replicated state.
     Update(Update),
-    /// All that it knew when it was asked has been sent; the answer to a ping.
+    /// Response to a ping. All updates that the sender had when it received the ping precede it.
     Pong {
-        /// Microseconds of the follower's clock when it asked.
+        /// Timestamp of the ping in microseconds of the follower's clock.
         asked_us: u64,
-        /// How old its knowledge is.
+        /// Ages of the sender's state.
         ages: Ages,
-        /// Its distance from the store.
+        /// Number of hops between the sender and the store.
         depth: u8,
-        /// Followers that ask the store in its place if it is lost; some may be turned away, too.
+        /// Followers that watch the store themselves if the sender is lost. The store may reject some of them,
+        /// so there are several.
         successors: Vec<IpAddr>,
     },
-    /// It may not be followed now.
+    /// The sender currently accepts no followers.
     NotAvailable,
 }
 
-/// Distance from the store at which an entry may still be followed. Two are enough at rest; while the
-/// root or a relay is replaced the tree is one level deeper for a moment.
+/// Maximum depth at which an entry accepts followers. The stable tree needs two levels of followers; while the
+/// root or a relay is being replaced, it is briefly one level deeper.
 pub const MAX_PARENT_DEPTH: u8 = 2;
 
-/// Followers of an entry that ask the store if it is lost.
-pub const SUCCESSORS: usize = 3;
+/// Number of followers that watch the store themselves if their parent is lost.
+pub const MAX_SUCCESSORS: usize = 3;
 
-/// Ages up to which an entry is followed. That of the configuration is well inside the lease of 4.4 s. The
-/// others reach what their watches wait, and have some time for a store that is slow.
-const CONFIG_AGE: Duration = Duration::from_millis(3_500);
-const EVACUATIONS_AGE: Duration = Duration::from_millis(3_500);
-const WEIGHTS_AGE: Duration = Duration::from_millis(5_500);
+/// Ages up to which an entry accepts followers. The limit for the configuration is well below its lease of
+/// 4.4 s. The other limits exceed the timeouts of their watches by a margin for a slow store.
+const MAX_CONFIG_AGE: Duration = Duration::from_millis(3_500);
+const MAX_EVACUATIONS_AGE: Duration = Duration::from_millis(3_500);
+const MAX_WEIGHTS_AGE: Duration = Duration::from_millis(5_500);
 
-/// Age of the endpoints up to which an entry is followed, as a part of the time within which an endpoint that
-/// leaves must get nothing more: a follower of an entry that is cut off from the store leaves it in time.
-const ENDPOINTS_PART: f64 = 0.65;
+/// Age of the endpoint list up to which an entry accepts followers, as a fraction of the removal bound. The
+/// followers of an entry that lost its connection to the store thus detach before the bound expires.
+const ENDPOINTS_AGE_FRACTION: f64 = 0.65;
 
-/// Ages of the endpoints up to which an entry follows, by its place in the tree, as parts of the same time.
+/// Ages of the endpoint list at which an entry detaches from its parent, by its position in the tree, as
+/// fractions of the removal bound.
 ///
-/// When the root loses the store, all entries would find their knowledge too old at the same moment and ask
-/// the store. So the root's successors leave it first, its other followers a little later, when a successor
-/// has what they need, and entries below them last.
-const SUCCESSOR_PART: f64 = 0.45;
-const RELAY_PART: f64 = 0.54;
+/// If the limits were equal when the root loses the store, all entries would detach at the same time and query
+/// the store. Instead, the root's successors detach first, its other followers a little later, when a successor
+/// has the data they need, and entries below them last.
+const SUCCESSOR_DETACH_FRACTION: f64 = 0.45;
+const RELAY_DETACH_FRACTION: f64 = 0.54;
 
-/// Longest wait of a watch of the endpoints as a part of that time. What followers know stays young enough two
-/// levels further down the tree and right after a change, too.
-const WAIT_PART: f64 = 0.3;
+/// Timeout of a watch on endpoints as a fraction of the removal bound. It keeps replicas fresh enough two levels
+/// further down the tree, also right after a parent change.
+const WATCH_TIMEOUT_FRACTION: f64 = 0.3;
 
-/// How old what is known of the endpoints may be.
+/// Maximum ages of the endpoint list, derived from the bound on removing an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AgeLimits {
-    leave_within: Duration,
+    removal_bound: Duration,
 }
 
 impl AgeLimits {
-    /// The limits where an endpoint that leaves must get nothing more after `leave_within`.
-    pub fn new(leave_within: Duration) -> AgeLimits {
-        AgeLimits { leave_within }
+    /// Creates the limits for a removal bound, the time within which a removed endpoint must stop receiving
+    /// requests.
+    pub fn new(removal_bound: Duration) -> AgeLimits {
+        AgeLimits { removal_bound }
     }
 
-    fn part(self, part: f64) -> Duration {
-        self.leave_within.mul_f64(part)
+    fn fraction(self, fraction: f64) -> Duration {
+        self.removal_bound.mul_f64(fraction)
     }
 
-    /// Longest wait of a watch of the endpoints.
-    pub fn endpoints_wait(self) -> Duration {
-        self.part(WAIT_PART)
+    /// Longest time for which a watch on endpoints waits for a change.
+    pub fn endpoints_watch_timeout(self) -> Duration {
+        self.fraction(WATCH_TIMEOUT_FRACTION)
     }
 
-    /// Age of the endpoints from which on an entry at `depth` leaves its parent.
-    pub fn leaves_at(self, depth: u8, is_successor: bool) -> Duration {
+    /// Age of the endpoint list at which an entry at `depth` detaches from its parent.
+    pub fn detach_age(self, depth: u8, is_successor: bool) -> Duration {
         match depth {
-            _ if is_successor => self.part(SUCCESSOR_PART),
-            0 | 1 => self.part(RELAY_PART),
-            _ => self.part(ENDPOINTS_PART),
+            _ if is_successor => self.fraction(SUCCESSOR_DETACH_FRACTION),
+            0 | 1 => self.fraction(RELAY_DETACH_FRACTION),
+            _ => self.fraction(ENDPOINTS_AGE_FRACTION),
         }
     }
 
-    /// Whether the endpoints are young enough for an entry to begin to act on them.
-    pub fn has_young_endpoints(self, ages: &Ages) -> bool {
-        ages.endpoints.is_some_and(|age| age < self.part(ENDPOINTS_PART))
+    /// Whether the endpoint list is fresh enough for an entry to start routing by it.
+    pub fn has_fresh_endpoints(self, ages: &Ages) -> bool {
+        ages.endpoints.is_some_and(|age| age < self.fraction(ENDPOINTS_AGE_FRACTION))
     }
 
-    /// Whether another entry may begin to follow one that knows this much, `since` it said so: it need not
-    /// leave again at once.
+    /// Whether an entry may start to follow one that reported `ages` `since` ago. The limit for endpoints is
+    /// stricter than in [`AgeLimits::are_fresh`], so that the new follower does not detach at once.
     pub fn may_join(self, ages: &Ages, since: Duration) -> bool {
-        let is_new = |age: Duration| age + since < self.part(SUCCESSOR_PART);
-        self.are_young(ages, since) && ages.endpoints.is_some_and(is_new)
+        let is_below_detach_age =
+            |age: Duration| age + since < self.fraction(SUCCESSOR_DETACH_FRACTION);
+        self.are_fresh(ages, since) && ages.endpoints.is_some_and(is_below_detach_age)
     }
 
-    /// Whether an entry that knows this much may be followed, `since` it said so.
-    pub fn are_young(self, ages: &Ages, since: Duration) -> bool {
-        let is_young = |age: Option<Duration>, most| age.is_some_and(|age| age + since < most);
-        is_young(ages.config, CONFIG_AGE)
-            && is_young(ages.endpoints, self.part(ENDPOINTS_PART))
-            && is_young(ages.evacuations, EVACUATIONS_AGE)
-            && is_young(ages.weights, WEIGHTS_AGE)
+    /// Whether an entry that reported `ages` `since` ago may be followed.
+    pub fn are_fresh(self, ages: &Ages, since: Duration) -> bool {
+        let is_fresh = |age: Option<Duration>, max| age.is_some_and(|age| age + since < max);
+        is_fresh(ages.config, MAX_CONFIG_AGE)
+            && is_fresh(ages.endpoints, self.fraction(ENDPOINTS_AGE_FRACTION))
+            && is_fresh(ages.evacuations, MAX_EVACUATIONS_AGE)
+            && is_fresh(ages.weights, MAX_WEIGHTS_AGE)
     }
 }
 
-/// What an entry offers to those that may follow it.
+/// State that an entry advertises to potential followers.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Offer {
-    /// Entries that follow it.
+    /// Current number of followers.
     pub followers: u32,
-    /// Its distance from the store: 0 if it asks the store itself.
+    /// Number of hops between the entry and the store; 0 if it reads the store itself.
     pub depth: u8,
-    /// Milliseconds in which the store answers it at best.
-    pub store_ms: u16,
+    /// Minimum response time of the store in milliseconds, as seen by the entry.
+    pub store_latency_ms: u16,
 }
 
-/// Difference in the time of the store's answers that the choice of the root ignores: less than a border of
-/// regions there and back.
-const STORE_MS_STEP: u16 = 4;
+/// Differences in store latency below this step do not affect the election of the root. The step is less than
+/// a round trip between two regions.
+const STORE_LATENCY_STEP_MS: u16 = 4;
 
-/// An entry that others may follow.
+/// An entry that other entries may follow.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Candidate {
-    /// Its address.
+    /// Address of the entry.
     pub ip: IpAddr,
-    /// What it offers.
+    /// State that the entry advertises.
     pub offer: Offer,
 }
 
-/// The entry to follow: the one that most follow already, the lowest address if there are several.
+/// Elects the entry to follow: the one with the most followers, ties broken by the lowest address.
 ///
-/// An entry that has just started, or that the store serves again, does not take the others over. They
-/// would all read everything anew, and the links between regions would be full for seconds.
+/// An entry that has just started, or that has regained access to the store, does not replace the current one.
+/// Otherwise all followers would reload the complete state and saturate the links between regions for seconds.
 pub fn elect(candidates: impl Iterator<Item = Candidate>) -> Option<IpAddr> {
-    let first = candidates.min_by_key(|one| (Reverse(one.offer.followers), one.ip))?;
-    Some(first.ip)
+    let elected =
+        candidates.min_by_key(|candidate| (Reverse(candidate.offer.followers), candidate.ip))?;
+    Some(elected.ip)
 }
 
-/// The entry that asks the store for the fleet: of those that are near it the one that most follow.
+/// Elects the entry that watches the store for the fleet: among the entries that read the store with the lowest
+/// latency, the one with the most followers.
 ///
-/// What the store sends to another region crosses the border uncompressed.
+/// Responses of the store are uncompressed, so the root should not read them across regions.
 pub fn elect_root(candidates: impl Iterator<Item = Candidate>) -> Option<IpAddr> {
-    let direct: Vec<Candidate> = candidates.filter(|one| one.offer.depth == 0).collect();
-    let step_of = |one: &Candidate| one.offer.store_ms / STORE_MS_STEP;
-    let nearest = direct.iter().map(step_of).min()?;
-    elect(direct.into_iter().filter(|one| step_of(one) == nearest))
+    let direct: Vec<Candidate> =
+        candidates.filter(|candidate| candidate.offer.depth == 0).collect();
+    let latency_step =
+        |candidate: &Candidate| candidate.offer.store_latency_ms / STORE_LATENCY_STEP_MS;
+    let lowest = direct.iter().map(latency_step).min()?;
+    elect(direct.into_iter().filter(|candidate| latency_step(candidate) == lowest))
 }
 
-/// The entry that agents name, and since when all of them have named that one.
+/// The entry that agents nominate as parent, and since when all of them have nominated the same one.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Named {
+pub struct Nomination {
     last: Option<(IpAddr, Time)>,
 }
 
-impl Named {
-    /// The same once an agent has named `ip`.
-    pub fn note(self, ip: IpAddr, now: Time) -> Named {
+impl Nomination {
+    /// Returns the state after an agent has nominated `ip`.
+    pub fn record(self, ip: IpAddr, now: Time) -> Nomination {
         let is_same = self.last.is_some_and(|(last, _)| last == ip);
-        if is_same { self } else { Named { last: Some((ip, now)) } }
+        if is_same { self } else { Nomination { last: Some((ip, now)) } }
     }
 
-    /// The entry that was named last.
+    /// The entry that was nominated last; `None` before the first nomination.
     pub fn last(&self) -> Option<IpAddr> {
         self.last.map(|(ip, _)| ip)
     }
 
-    /// The entry that alone was named for at least `span`.
-    pub fn steady(&self, span: Duration, now: Time) -> Option<IpAddr> {
+    /// The last nominated entry, if no other was nominated for at least `span`.
+    pub fn stable_for(&self, span: Duration, now: Time) -> Option<IpAddr> {
         self.last.filter(|(_, since)| now.passed(*since, span)).map(|(ip, _)| ip)
     }
 }
 
-/// The moment `span` before `at`; `None` if that is before the process started.
+/// The time `span` before `at`; `None` if it is before the process started.
 ///
-/// A pong that answers what was asked at `at` and tells an age proves that the read behind it was sent
-/// no earlier than that age before `at`.
+/// A pong that reports an age in response to a ping sent at `at` proves that the underlying read was sent no
+/// earlier than that age before `at`.
 pub fn time_before(at: Time, span: Duration) -> Option<Time> {
     let span_us = u64::try_from(span.as_micros()).ok()?;
     at.as_micros().checked_sub(span_us).map(Time::from_micros)
--- a/core/src/direct/rollout.rs
+++ b/core/src/direct/rollout.rs
@@ -1,77 +1,79 @@
-//! When the endpoint beside an agent loads a new version.
+//! Staggered rollout: when an agent's endpoint loads a new version.
 //!
-//! An endpoint takes nothing new while it empties and loads. If all did so at once, nobody would
-//! answer for a second or two. So the endpoints that serve load one after the other, at turns that all
-//! agents work out alike; those that serve nothing load as soon as they can.
+//! An endpoint accepts no requests while it drains and loads. If all endpoints did so at once, the service would
+//! be unavailable for a second or two. Serving endpoints therefore load one after the other, at times that all
+//! agents compute alike. Endpoints that serve no version load as soon as they can.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Parts of the bound at which the first and the last host load. Before the first, chunks are still on
-/// their way. From its turn on a host begins nothing on the old version, so the last turn may come close to
-/// the bound.
-const FIRST_PART: f64 = 0.36;
-const LAST_PART: f64 = 0.82;
+/// Fractions of the bound at which the first and the last host load. Before the first, chunks are still being
+/// transferred. From its load time on, a host starts no requests on the old version, so the last load time may
+/// be close to the bound.
+const FIRST_LOAD_FRACTION: f64 = 0.36;
+const LAST_LOAD_FRACTION: f64 = 0.82;
 
-/// What a host knows when it decides.
+/// State of a host on which the decision to load depends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Situation {
-    /// The version that is staged whole.
+pub struct HostState {
+    /// The version that is completely staged.
     pub staged: u64,
-    /// When it became known here.
-    pub named_at: Time,
-    /// The version that the endpoint holds whole.
+    /// When the staged version was announced, as known to this host.
+    pub announced_at: Time,
+    /// The version that the endpoint has completely loaded; `None` if there is none.
     pub held: Option<u64>,
-    /// When the first version newer than the held one became known here.
+    /// When the first version newer than `held` was announced, as known to this host.
     pub outdated_since: Time,
-    /// This host's place among those that load, from 0.
+    /// Position of this host among those that load, starting at 0.
     pub rank: u32,
-    /// Hosts that load.
+    /// Number of hosts that load.
     pub hosts: u32,
-    /// The time after which requests must not begin on an older version.
+    /// Time after an announcement from which no request may start on an older version.
     pub bound: Duration,
-    /// Whether entries no longer send requests to what the endpoint holds. They may know better since when
-    /// it is out of date, if the version was named while the store was away.
+    /// Whether entries no longer route requests to the loaded version. Entries may have a more accurate time of
+    /// the announcement if it took place during a store outage.
     pub is_barred: bool,
 }
 
-/// How much of a version is here.
+/// Progress of the download of a version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Progress {
-    /// Chunks of the version.
+pub struct DownloadProgress {
+    /// Number of chunks of the version.
     pub chunks: usize,
-    /// Chunks that are missing.
+    /// Number of missing chunks.
     pub missing: usize,
-    /// Time since the first one could be asked for.
+    /// Time since the first chunk could be requested.
     pub elapsed: Duration,
 }
 
-/// Part of a version's chunks from which on their pace says when the rest is here.
-const KNOWN_PACE: f64 = 0.125;
+/// Fraction of a version's chunks that must be present before the remaining time is estimated.
+const MIN_ESTIMATE_FRACTION: f64 = 0.125;
 
-/// Time until the endpoint serves a version that takes `load` to load once it is whole, if nothing holds it
-/// up. `None` while too few chunks have come for an estimate.
-pub fn ready_in(progress: &Progress, load: Duration) -> Option<Duration> {
-    let here = progress.chunks.saturating_sub(progress.missing) as f64;
-    let is_known = progress.chunks > 0 && here >= progress.chunks as f64 * KNOWN_PACE;
-    is_known.then(|| load + progress.elapsed.mul_f64(progress.missing as f64 / here))
+/// Estimates the time until the endpoint serves a version that takes `load` to load after the download, assuming
+/// no further delay. Returns `None` while too few chunks are present for an estimate.
+pub fn estimate_ready_in(progress: &DownloadProgress, load: Duration) -> Option<Duration> {
+    let present = progress.chunks.saturating_sub(progress.missing) as f64;
+    let is_sufficient =
+        progress.chunks > 0 && present >= progress.chunks as f64 * MIN_ESTIMATE_FRACTION;
+    is_sufficient.then(|| load + progress.elapsed.mul_f64(progress.missing as f64 / present))
 }
 
 /// Whether to load the staged version now.
-pub fn may_load(situation: &Situation, now: Time) -> bool {
-    match situation.held {
+pub fn may_load(state: &HostState, now: Time) -> bool {
+    match state.held {
         None => true,
-        Some(held) if held >= situation.staged => false,
-        Some(_) => situation.is_barred || now >= turn(situation),
+        Some(held) if held >= state.staged => false,
+        Some(_) => state.is_barred || now >= load_time(state),
     }
 }
 
-/// When the host's turn comes: by its rank, but in time for the first version that it lacks.
-fn turn(situation: &Situation) -> Time {
-    let part = f64::from(situation.rank) / f64::from(situation.hosts.max(2) - 1);
-    let own = FIRST_PART + (LAST_PART - FIRST_PART) * part.min(1.0);
-    let usual = situation.named_at + situation.bound.mul_f64(own);
-    let latest = situation.outdated_since + situation.bound.mul_f64(LAST_PART);
-    usual.min(latest)
+/// When the host loads: by its rank, but in time for the first version that it lacks.
+fn load_time(state: &HostState) -> Time {
+    let position = f64::from(state.rank) / f64::from(state.hosts.max(2) - 1);
+    let fraction =
+        FIRST_LOAD_FRACTION + (LAST_LOAD_FRACTION - FIRST_LOAD_FRACTION) * position.min(1.0);
+    let scheduled = state.announced_at + state.bound.mul_f64(fraction);
+    let latest = state.outdated_since + state.bound.mul_f64(LAST_LOAD_FRACTION);
+    scheduled.min(latest)
 }
--- a/core/src/direct/subscribers.rs
+++ b/core/src/direct/subscribers.rs
@@ -1,5 +1,5 @@
-//! The entries that an agent hears of: how many there are, who is sent the next report, and which of them
-//! the others follow.
+//! Entries that subscribe to an agent's load reports: their number, the recipients of a report, and which of
+//! them other entries follow.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -11,159 +11,164 @@
 use super::replication::Offer;
 use crate::time::Time;
 
-/// How long an entry is sent reports after it asked. Entries ask every 300 ms, and those of other regions
-/// half as often: some asks in a row may be lost.
-const ASKED_FOR: Duration = Duration::from_millis(3_500);
+/// Time for which a subscription is valid after a request. Entries renew it every 300 ms, in other regions half
+/// as often, so several consecutive requests may be lost.
+const SUBSCRIPTION_TTL: Duration = Duration::from_millis(3_500);
 
-/// Time after its last ask at which an entry of the region is no longer followed: two asks may be lost.
-const RELAY_VALID: Duration = Duration::from_millis(1_000);
+/// Time after its last request for which an entry of the region may be followed; two requests may be lost.
+const RELAY_TTL: Duration = Duration::from_millis(1_000);
 
-/// The same for the entry that asks the store for all regions; others than its own it asks half as often.
-const ROOT_VALID: Duration = Duration::from_millis(1_600);
+/// Time after its last request for which an entry may be elected root. It is longer than [`RELAY_TTL`] because
+/// an entry sends requests to other regions half as often.
+const ROOT_TTL: Duration = Duration::from_millis(1_600);
 
-/// Time from the start of an agent after which all entries have announced themselves to it, each at least
-/// every 1.6 s; a count of the first ones alone would let each take a much too large share of what all may
-/// send.
-const COUNT_AFTER: Duration = Duration::from_millis(1_800);
+/// Time after the start of an agent by which all entries have announced themselves to it; each does so at least
+/// every 1.6 s. With a count of only the first entries, each entry would use a much too large share of the
+/// capacity that all share.
+const COUNT_SETTLE_DELAY: Duration = Duration::from_millis(1_800);
 
-/// The same from the first ask on, if no entry knows a count, so that all are starting: each announces
-/// itself to all agents as soon as it knows them.
-const COUNT_STARTING_AFTER: Duration = Duration::from_millis(700);
+/// Time after the first request by which the count is complete if no entry reports one. In this case all
+/// entries are starting, and each announces itself to all agents as soon as it discovers them.
+const COLD_START_SETTLE_DELAY: Duration = Duration::from_millis(700);
 
-/// Entries that one agent counts at most.
+/// Maximum number of entries that one agent tracks.
 const MAX_SUBSCRIBERS: usize = 1_024;
 
-/// An entry that asks for reports.
+/// The last request of an entry that subscribes to load reports.
 #[derive(Clone, Copy, Debug)]
 pub struct Subscriber {
-    /// What its own clock said when it asked last, in microseconds.
+    /// Timestamp of the request in microseconds of the entry's clock.
     pub asked_us: u64,
-    /// When that ask came in.
-    pub at: Time,
-    /// Whether it is in another region.
+    /// When the agent received the request.
+    pub received_at: Time,
+    /// Whether the entry is in another region than the agent.
     pub is_far: bool,
-    /// Entries that it knows of, if agents have counted them for it.
+    /// Number of entries in the fleet according to the entry; `None` if no agent has counted them for it.
     pub entries: Option<u32>,
-    /// The oldest version of the agent's model that it sends requests to.
+    /// The oldest version of the agent's model to which the entry routes requests.
     pub oldest_weights: u64,
-    /// Whether it is in the region of the origin of weights.
-    pub is_beside_origin: bool,
-    /// Whether it is sent load reports; others only announce themselves.
+    /// Whether the entry is in the region of the origin of weights.
+    pub is_in_origin_region: bool,
+    /// Whether the entry receives load reports. Other entries only announce themselves.
     pub wants_reports: bool,
-    /// What it offers to those that may follow it; `None` if it may not be followed.
+    /// State that the entry advertises to potential followers; `None` if it accepts none.
     pub offer: Option<Offer>,
 }
 
-/// The entries that asked lately.
+/// The entries with a valid subscription.
 #[derive(Debug, Default)]
 pub struct Subscribers {
     by_address: HashMap<SocketAddr, Subscriber>,
-    first_ask_at: Option<Time>,
+    first_request_at: Option<Time>,
 }
 
-/// How many entries there are.
+/// Number of entries in the fleet, as seen by one agent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Count {
-    /// Entries known.
+pub struct EntryCount {
+    /// Number of known entries.
     pub entries: u32,
-    /// Whether these are all.
-    pub is_of_all: bool,
+    /// Whether the count includes all entries.
+    pub is_complete: bool,
 }
 
 impl Subscribers {
-    /// An entry has asked. Beyond the most that one agent reports to, new ones are left out.
+    /// Adds an entry or renews its subscription. Ignores new entries once there are [`MAX_SUBSCRIBERS`].
     pub fn renew(&mut self, from: SocketAddr, subscriber: Subscriber) {
-        self.first_ask_at.get_or_insert(subscriber.at);
-        self.by_address.retain(|_, other| !subscriber.at.passed(other.at, ASKED_FOR));
+        self.first_request_at.get_or_insert(subscriber.received_at);
+        self.by_address
+            .retain(|_, other| !subscriber.received_at.passed(other.received_at, SUBSCRIPTION_TTL));
         if self.by_address.len() < MAX_SUBSCRIBERS || self.by_address.contains_key(&from) {
             self.by_address.insert(from, subscriber);
         }
     }
 
-    /// Entries that asked lately.
+    /// Number of entries with a valid subscription.
     pub fn len(&self, now: Time) -> usize {
         self.live(now).count()
     }
 
-    /// How many entries there are, as an agent that started at `started` knows it. One that has just
-    /// started goes by what entries say that others have counted.
-    pub fn count(&self, started: Time, now: Time) -> Count {
+    /// Counts the entries of the fleet for an agent that started at `started`. An agent that has just started
+    /// relies on the counts of other agents, as reported by entries.
+    pub fn count(&self, started: Time, now: Time) -> EntryCount {
         let live = self.len(now) as u32;
-        if now.passed(started, COUNT_AFTER) {
-            return Count { entries: live, is_of_all: true };
+        if now.passed(started, COUNT_SETTLE_DELAY) {
+            return EntryCount { entries: live, is_complete: true };
         }
-        if let Some(reported) = self.live(now).filter_map(|(_, one)| one.entries).max() {
-            return Count { entries: live.max(reported), is_of_all: true };
+        if let Some(reported) = self.live(now).filter_map(|(_, entry)| entry.entries).max() {
+            return EntryCount { entries: live.max(reported), is_complete: true };
         }
-        let is_of_all = self.first_ask_at.is_some_and(|at| now.passed(at, COUNT_STARTING_AFTER));
-        Count { entries: live, is_of_all }
+        let is_complete =
+            self.first_request_at.is_some_and(|at| now.passed(at, COLD_START_SETTLE_DELAY));
+        EntryCount { entries: live, is_complete }
     }
 
-    /// Entries that are sent load reports.
+    /// Number of entries that receive load reports.
     pub fn readers(&self, now: Time) -> usize {
         self.live(now).filter(|(_, subscriber)| subscriber.wants_reports).count()
     }
 
-    /// Entries that are sent a report now: those of other regions only if it is for all.
+    /// Recipients of the current report. Entries of other regions are included only if `to_all_regions`.
     pub fn receivers(
         &self,
-        is_for_all: bool,
+        to_all_regions: bool,
         now: Time,
     ) -> impl Iterator<Item = (SocketAddr, Subscriber)> + '_ {
         let readers = self.live(now).filter(|(_, subscriber)| subscriber.wants_reports);
-        readers.filter(move |(_, subscriber)| is_for_all || !subscriber.is_far)
+        readers.filter(move |(_, subscriber)| to_all_regions || !subscriber.is_far)
     }
 
-    /// The entry that the others of this region follow.
+    /// Elects the entry that the others of this region follow.
     pub fn relay(&self, now: Time) -> Option<IpAddr> {
-        let near = self.candidates(RELAY_VALID, now).filter(|(_, is_far)| !is_far);
-        replication::elect(near.map(|(candidate, _)| candidate))
+        let regional = self.candidates(RELAY_TTL, now).filter(|(_, is_far)| !is_far);
+        replication::elect(regional.map(|(candidate, _)| candidate))
     }
 
-    /// The entry that asks the store for all regions.
+    /// Elects the entry that watches the store for all regions.
     pub fn root(&self, now: Time) -> Option<IpAddr> {
-        replication::elect_root(self.candidates(ROOT_VALID, now).map(|(candidate, _)| candidate))
+        replication::elect_root(self.candidates(ROOT_TTL, now).map(|(candidate, _)| candidate))
     }
 
-    /// Whether most entries no longer send requests to an endpoint that holds `version`. One that has just
-    /// started may take a new version for an old one.
+    /// Whether most entries no longer route requests to endpoints with `version`. A majority is required because
+    /// an entry that has just started may treat the bound of a new version as expired.
     pub fn is_barred(&self, version: u64, now: Time) -> bool {
-        let lately = || self.live(now).filter(|(_, one)| !now.passed(one.at, RELAY_VALID));
-        let barring = lately().filter(|(_, one)| one.oldest_weights > version).count();
-        barring * 2 > lately().count()
+        let recent =
+            || self.live(now).filter(|(_, entry)| !now.passed(entry.received_at, RELAY_TTL));
+        let barring = recent().filter(|(_, entry)| entry.oldest_weights > version).count();
+        barring * 2 > recent().count()
     }
 
-    /// Entries that hand out chunks of weights: those of this region, and those of the origin's.
+    /// Entries that serve chunks of weights: those of this region, and those of the origin's region.
     pub fn caches(&self, now: Time) -> (Vec<IpAddr>, Vec<IpAddr>) {
-        let near = self.live(now).filter(|(_, one)| !one.is_far);
-        let near = near.filter(|(_, one)| !now.passed(one.at, RELAY_VALID));
-        let is_recent = |one: &Subscriber| one.is_far || !now.passed(one.at, RELAY_VALID);
-        let beside_origin =
-            self.live(now).filter(|(_, one)| one.is_beside_origin && is_recent(one));
-        (near.map(|(at, _)| at.ip()).collect(), beside_origin.map(|(at, _)| at.ip()).collect())
+        let regional = self.live(now).filter(|(_, entry)| !entry.is_far);
+        let regional = regional.filter(|(_, entry)| !now.passed(entry.received_at, RELAY_TTL));
+        let is_recent =
+            |entry: &Subscriber| entry.is_far || !now.passed(entry.received_at, RELAY_TTL);
+        let in_origin_region =
+            self.live(now).filter(|(_, entry)| entry.is_in_origin_region && is_recent(entry));
+        (
+            regional.map(|(at, _)| at.ip()).collect(),
+            in_origin_region.map(|(at, _)| at.ip()).collect(),
+        )
     }
 
     /// Entries of this region that may be followed.
-    pub fn near_entries(&self, now: Time) -> Vec<IpAddr> {
-        let all = self.candidates(RELAY_VALID, now);
+    pub fn regional_entries(&self, now: Time) -> Vec<IpAddr> {
+        let all = self.candidates(RELAY_TTL, now);
         all.filter(|(_, is_far)| !is_far).map(|(candidate, _)| candidate.ip).collect()
     }
 
-    /// Entries that may be followed and asked within `valid`, and whether each is in another region.
-    fn candidates(
-        &self,
-        valid: Duration,
-        now: Time,
-    ) -> impl Iterator<Item = (Candidate, bool)> + '_ {
-        let lately = self.live(now).filter(move |(_, one)| !now.passed(one.at, valid));
-        lately.filter_map(|(address, one)| {
-            let candidate = Candidate { ip: address.ip(), offer: one.offer? };
-            Some((candidate, one.is_far))
+    /// Entries that may be followed and whose last request is at most `ttl` old, each with whether it is in
+    /// another region.
+    fn candidates(&self, ttl: Duration, now: Time) -> impl Iterator<Item = (Candidate, bool)> + '_ {
+        let recent = self.live(now).filter(move |(_, entry)| !now.passed(entry.received_at, ttl));
+        recent.filter_map(|(address, entry)| {
+            let candidate = Candidate { ip: address.ip(), offer: entry.offer? };
+            Some((candidate, entry.is_far))
         })
     }
 
     fn live(&self, now: Time) -> impl Iterator<Item = (SocketAddr, Subscriber)> + '_ {
         let all = self.by_address.iter().map(|(address, subscriber)| (*address, *subscriber));
-        all.filter(move |(_, subscriber)| !now.passed(subscriber.at, ASKED_FOR))
+        all.filter(move |(_, subscriber)| !now.passed(subscriber.received_at, SUBSCRIPTION_TTL))
     }
 }
--- a/core/src/direct/versions.rs
+++ b/core/src/direct/versions.rs
@@ -1,8 +1,8 @@
-//! The versions of a model that may still answer requests.
+//! Announced versions of a model, and which of them may still serve requests.
 //!
-//! A new version may be named before the one before it is everywhere. Each counts from its own
-//! naming: with versions 2 and 3 named four seconds apart, endpoints with version 1 may answer until
-//! the bound of version 2 has passed, not only until 3 is known.
+//! A version may be announced before its predecessor has been rolled out everywhere. Each version's bound
+//! counts from its own announcement: if versions 2 and 3 are announced four seconds apart, endpoints with
+//! version 1 may serve until the bound of version 2 expires, not only until version 3 is announced.
 
 use std::time::Duration;
 
@@ -12,113 +12,116 @@
 
 use crate::time::Time;
 
-/// The versions of a model that count now.
+/// The range of a model's versions that an entry accepts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CurrentWeights {
-    /// The model.
+    /// Name of the model.
     pub model: SmolStr,
-    /// The newest version.
+    /// The newest announced version.
     pub newest: u64,
     /// The oldest version to which the entry still sends requests.
     pub oldest: u64,
 }
 
-/// Versions remembered beside the newest; older ones have long passed their bound.
-const MAX_NAMED: usize = 16;
+/// Maximum number of versions that are kept. The bounds of older versions have long expired.
+const MAX_KEPT_VERSIONS: usize = 16;
 
-/// The versions of one model in the order in which they were named.
+/// The versions of one model in ascending order, each with the time of its announcement.
 #[derive(Clone, Debug)]
 pub struct Versions {
-    named: Vec<(u64, Option<Time>)>,
+    announced: Vec<(u64, Option<Time>)>,
 }
 
 impl Versions {
-    /// A model whose newest version is `version`; nobody knows how long it has been.
-    pub fn first(version: u64) -> Versions {
-        Versions { named: vec![(version, None)] }
+    /// Creates the history of a model whose newest version is `version`, announced at an unknown time.
+    pub fn new(version: u64) -> Versions {
+        Versions { announced: vec![(version, None)] }
     }
 
-    /// A version was named at `now`. False if it is not newer than the newest.
-    pub fn name(&mut self, version: u64, now: Time) -> bool {
+    /// Records the announcement of `version` at `now`. Returns false if it is not newer than the newest.
+    pub fn record_announcement(&mut self, version: u64, now: Time) -> bool {
         if version <= self.newest() {
             return false;
         }
-        if self.named.len() >= MAX_NAMED {
-            self.named.remove(0);
+        if self.announced.len() >= MAX_KEPT_VERSIONS {
+            self.announced.remove(0);
         }
-        self.named.push((version, Some(now)));
+        self.announced.push((version, Some(now)));
         true
     }
 
-    /// Another process knows that a version was named at `at`.
+    /// Records that, according to another process, `version` was announced at `at`.
     ///
-    /// A process that has just started finds the newest version without knowing since when, and takes it
-    /// as long named. It believes one that knows better, also of versions between.
-    pub fn date(&mut self, version: u64, at: Time) {
-        let n = self.named.partition_point(|(known, _)| *known < version);
-        match self.named.get(n) {
+    /// A process that has just started finds the newest version in the store without the time of its
+    /// announcement and treats its bound as expired. This fills in the time that another process knows, also
+    /// for versions in between. A known time is not changed.
+    pub fn backfill_announced_at(&mut self, version: u64, at: Time) {
+        let n = self.announced.partition_point(|(known, _)| *known < version);
+        match self.announced.get(n) {
             Some((known, None)) if *known == version && version > 0 => {
-                self.named[n].1 = Some(at);
+                self.announced[n].1 = Some(at);
             }
-            Some((known, None)) if *known > version && self.named.len() < MAX_NAMED => {
-                self.named.insert(n, (version, Some(at)));
+            Some((known, None)) if *known > version && self.announced.len() < MAX_KEPT_VERSIONS => {
+                self.announced.insert(n, (version, Some(at)));
             }
             _ => return,
         }
         if n == 0 {
-            // Whatever came before may answer until the bound of this one.
-            self.named.insert(0, (0, None));
+            // Any earlier version may serve until the bound of this one expires.
+            self.announced.insert(0, (0, None));
         }
     }
 
-    /// Another process learnt of a version between `earliest` and `latest`: it was named then at the latest.
+    /// Records that another process first saw `version` between `earliest` and `latest`, so it was announced no
+    /// later than `latest`.
     ///
-    /// An entry whose own way to the store was blocked learns of a version seconds late, and would send
-    /// requests to older ones past the bound. Agents hear of it from all entries, so the first to know
-    /// dates it for all. One that nobody else has told of is taken to have been named as early as may be.
-    pub fn known_since(&mut self, version: u64, earliest: Time, latest: Time) {
-        match self.named.iter_mut().find(|(named, _)| *named == version) {
-            Some((_, Some(named_at))) => *named_at = latest.min(*named_at),
+    /// An entry whose connection to the store was blocked sees a version seconds late and would route requests
+    /// to older versions past the bound. Agents receive the version from all entries, so the first of them to
+    /// see it determines the time for all. A version that is unknown to this process is recorded as announced
+    /// at `earliest`.
+    pub fn record_announced_by(&mut self, version: u64, earliest: Time, latest: Time) {
+        match self.announced.iter_mut().find(|(known, _)| *known == version) {
+            Some((_, Some(announced_at))) => *announced_at = latest.min(*announced_at),
             Some((_, None)) => {}
             None => {
-                self.name(version, earliest);
+                self.record_announcement(version, earliest);
             }
         }
     }
 
-    /// A version is proved to have been named no earlier than at `at`.
-    pub fn named_after(&mut self, version: u64, at: Time) {
-        if let Some((_, Some(named_at))) =
-            self.named.iter_mut().find(|(named, _)| *named == version)
+    /// Records proof that `version` was announced no earlier than `at`.
+    pub fn record_announced_after(&mut self, version: u64, at: Time) {
+        if let Some((_, Some(announced_at))) =
+            self.announced.iter_mut().find(|(known, _)| *known == version)
         {
-            *named_at = at.max(*named_at);
+            *announced_at = at.max(*announced_at);
         }
     }
 
-    /// The newest version.
+    /// The newest announced version; 0 if there is none.
     pub fn newest(&self) -> u64 {
-        self.named.last().map_or(0, |(version, _)| *version)
+        self.announced.last().map_or(0, |(version, _)| *version)
     }
 
-    /// The oldest version that may answer: the newest of those named at least `bound` ago.
+    /// The oldest version that may serve requests: the newest of those announced at least `bound` ago.
     pub fn oldest_allowed(&self, bound: Duration, now: Time) -> u64 {
-        let binds = |at: &Option<Time>| at.is_none_or(|at| now.passed(at, bound));
-        let bound_by = self.named.iter().rev().find(|(_, at)| binds(at));
-        bound_by.map_or(0, |(version, _)| *version)
+        let is_bound_expired = |at: &Option<Time>| at.is_none_or(|at| now.passed(at, bound));
+        let oldest = self.announced.iter().rev().find(|(_, at)| is_bound_expired(at));
+        oldest.map_or(0, |(version, _)| *version)
     }
 
-    /// The versions known, oldest first, and how long ago each was named, if that is known.
+    /// The known versions, oldest first, each with the time since its announcement; `None` if unknown.
     pub fn ages(&self, now: Time) -> impl Iterator<Item = (u64, Option<Duration>)> + '_ {
-        self.named.iter().map(move |(version, at)| (*version, at.map(|at| now.since(at))))
+        self.announced.iter().map(move |(version, at)| (*version, at.map(|at| now.since(at))))
     }
 
-    /// When `version` was named.
-    pub fn named_at(&self, version: u64) -> Option<Time> {
-        self.named.iter().find(|(named, _)| *named == version).and_then(|(_, at)| *at)
+    /// When `version` was announced; `None` if the version or the time is unknown.
+    pub fn announced_at(&self, version: u64) -> Option<Time> {
+        self.announced.iter().find(|(known, _)| *known == version).and_then(|(_, at)| *at)
     }
 
-    /// When the first version newer than `held` was named, if one was.
+    /// When the first version newer than `held` was announced; `None` if there is none or the time is unknown.
     pub fn outdated_since(&self, held: u64) -> Option<Time> {
-        self.named.iter().find(|(version, _)| *version > held).and_then(|(_, at)| *at)
+        self.announced.iter().find(|(version, _)| *version > held).and_then(|(_, at)| *at)
     }
 }
--- a/core/tests/direct/caches.rs
+++ b/core/tests/direct/caches.rs
@@ -3,7 +3,7 @@
 
 use mastichaven_core::Time;
 use mastichaven_core::direct::caches::Caches;
-use mastichaven_core::direct::caches::PULLERS;
+use mastichaven_core::direct::caches::MAX_PULLERS;
 use mastichaven_core::ids::Digest;
 
 const CHUNKS: u32 = 64;
@@ -20,14 +20,14 @@
     Time::from_millis(ms)
 }
 
-fn caches(near: Vec<IpAddr>, beside_origin: Vec<IpAddr>) -> Caches {
+fn caches(regional: Vec<IpAddr>, in_origin_region: Vec<IpAddr>) -> Caches {
     let mut caches = Caches::default();
-    caches.set(near, beside_origin);
+    caches.set(regional, in_origin_region);
     caches
 }
 
 #[test]
-fn route_agrees_whatever_the_order_in_which_entries_are_known() {
+fn route_is_independent_of_entry_order() {
     let one = caches(entries(2, 13), entries(1, 13));
     let reversed = |list: Vec<IpAddr>| list.into_iter().rev().collect::<Vec<_>>();
     let other = caches(reversed(entries(2, 13)), reversed(entries(1, 13)));
@@ -36,65 +36,65 @@
     }
 }
 
-// Guards against a few entries that hand out most of a version while the links of the others are idle.
+// Guards against a few entries that serve most of a version while the links of the others are idle.
 #[test]
 fn route_spreads_chunks_over_entries() {
     let caches = caches(entries(1, 13), entries(1, 13));
-    let mut handed_out: HashMap<IpAddr, u32> = HashMap::new();
+    let mut chunk_counts: HashMap<IpAddr, u32> = HashMap::new();
     for n in 0..CHUNKS {
         let route = caches.route(chunk(n), at(0)).expect("a route");
-        *handed_out.entry(route.entry).or_default() += 1;
+        *chunk_counts.entry(route.entry).or_default() += 1;
     }
-    assert!(handed_out.len() >= 11, "{} of 13 entries", handed_out.len());
-    assert!(handed_out.values().all(|count| *count <= 13), "{handed_out:?}");
+    assert!(chunk_counts.len() >= 11, "{} of 13 entries serve chunks", chunk_counts.len());
+    assert!(chunk_counts.values().all(|count| *count <= 13), "chunks per entry: {chunk_counts:?}");
 }
 
-// Guards against dozens of downloads that share the origin's link and all end late.
+// Guards against dozens of downloads that share the origin's link and all complete late.
 #[test]
-fn route_lets_few_entries_pull_from_the_origin() {
-    let near = caches(entries(1, 30), entries(1, 30));
-    let far = caches(entries(2, 30), entries(1, 30));
+fn route_limits_pullers() {
+    let origin_region = caches(entries(1, 30), entries(1, 30));
+    let other_region = caches(entries(2, 30), entries(1, 30));
     let mut pullers = HashMap::new();
     for n in 0..CHUNKS {
-        let route = near.route(chunk(n), at(0)).expect("a route");
+        let route = origin_region.route(chunk(n), at(0)).expect("a route");
         let puller = route.puller.unwrap_or(route.entry);
         *pullers.entry(puller).or_insert(0) += 1;
-        // The version crosses a border once: each region's entry takes it from the same puller.
-        assert_eq!(far.route(chunk(n), at(0)).expect("a route").puller, Some(puller));
+        // Each version is transferred once per region: its entry fetches it from the same puller.
+        assert_eq!(other_region.route(chunk(n), at(0)).expect("a route").puller, Some(puller));
     }
-    assert_eq!(pullers.len(), PULLERS);
+    assert_eq!(pullers.len(), MAX_PULLERS);
 }
 
-// Guards against hosts that wait for an entry that is frozen or cut off.
+// Guards against hosts that wait for an entry that is unresponsive or partitioned.
 #[test]
-fn route_passes_over_an_entry_that_failed() {
+fn route_skips_failed_entry_during_cooldown() {
     let mut caches = caches(entries(1, 3), entries(1, 3));
     let first = caches.route(chunk(7), at(0)).expect("a route").entry;
-    caches.failed(first, at(0));
+    caches.record_failure(first, at(0));
     let second = caches.route(chunk(7), at(10)).expect("a route").entry;
     assert_ne!(first, second);
     assert_eq!(caches.route(chunk(7), at(4_000)).expect("a route").entry, first);
 }
 
 #[test]
-fn are_available_is_false_once_all_entries_have_failed() {
+fn are_available_is_false_if_all_entries_failed() {
     let mut caches = caches(entries(1, 2), Vec::new());
     assert!(caches.are_available(at(0)));
-    entries(1, 2).into_iter().for_each(|entry| caches.failed(entry, at(0)));
+    entries(1, 2).into_iter().for_each(|entry| caches.record_failure(entry, at(0)));
     assert!(!caches.are_available(at(10)));
     assert_eq!(caches.route(chunk(1), at(10)), None);
 }
 
-// Guards against chunks that all change hands when one entry is restarted.
+// Guards against reassignment of all chunks when one entry restarts.
 #[test]
-fn route_moves_only_the_chunks_of_an_entry_that_is_gone() {
+fn route_reassigns_only_chunks_of_removed_entry() {
     let all = caches(entries(1, 13), entries(1, 13));
-    let mut rest = entries(1, 13);
-    let gone = rest.remove(4);
-    let without = caches(rest, entries(1, 13));
+    let mut remaining = entries(1, 13);
+    let removed = remaining.remove(4);
+    let without = caches(remaining, entries(1, 13));
     for n in 0..CHUNKS {
         let before = all.route(chunk(n), at(0)).expect("a route").entry;
         let after = without.route(chunk(n), at(0)).expect("a route").entry;
-        assert!(before == gone || before == after);
+        assert!(before == removed || before == after);
     }
 }
--- a/core/tests/direct/replication.rs
+++ b/core/tests/direct/replication.rs
@@ -5,7 +5,7 @@
 use mastichaven_core::direct::replication::AgeLimits;
 use mastichaven_core::direct::replication::Ages;
 use mastichaven_core::direct::replication::Candidate;
-use mastichaven_core::direct::replication::Named;
+use mastichaven_core::direct::replication::Nomination;
 use mastichaven_core::direct::replication::Offer;
 use mastichaven_core::direct::replication::PeerEndpoint;
 use mastichaven_core::direct::replication::PeerList;
@@ -22,23 +22,23 @@
     Ages { config: age, endpoints: age, evacuations: age, weights: age }
 }
 
-// A watcher that has lost the store still answers its followers. They must leave it before an endpoint
-// that has told that it leaves, unknown to them, is sent requests past its bound.
+// Guards against requests to a draining endpoint past its bound: an entry that has lost the store still answers
+// pings, and its followers must detach before they miss the endpoint's removal for too long.
 #[test]
-fn are_young_counts_the_way() {
-    assert!(limits().are_young(&ages(700), Duration::from_millis(5)));
-    assert!(!limits().are_young(&ages(900), Duration::from_millis(500)));
-    assert!(!limits().are_young(&ages(1_300), Duration::ZERO));
+fn are_fresh_includes_time_since_report() {
+    assert!(limits().are_fresh(&ages(700), Duration::from_millis(5)));
+    assert!(!limits().are_fresh(&ages(900), Duration::from_millis(500)));
+    assert!(!limits().are_fresh(&ages(1_300), Duration::ZERO));
 }
 
 #[test]
-fn are_young_needs_all_kinds() {
-    assert!(!limits().are_young(&Ages { weights: None, ..ages(10) }, Duration::ZERO));
-    assert!(!limits().are_young(&Ages::default(), Duration::ZERO));
+fn are_fresh_requires_all_kinds() {
+    assert!(!limits().are_fresh(&Ages { weights: None, ..ages(10) }, Duration::ZERO));
+    assert!(!limits().are_fresh(&Ages::default(), Duration::ZERO));
 }
 
 #[test]
-fn before_ends_at_the_start() {
+fn time_before_process_start_is_none() {
     assert_eq!(
         time_before(Time::from_millis(900), Duration::from_millis(200)),
         Some(Time::from_millis(700))
@@ -46,8 +46,8 @@
     assert_eq!(time_before(Time::from_millis(100), Duration::from_millis(200)), None);
 }
 
-fn candidate(n: u8, followers: u32, depth: u8, store_ms: u16) -> Candidate {
-    let offer = Offer { followers, depth, store_ms };
+fn candidate(n: u8, followers: u32, depth: u8, store_latency_ms: u16) -> Candidate {
+    let offer = Offer { followers, depth, store_latency_ms };
     Candidate { ip: IpAddr::from([10, 1, 0, n]), offer }
 }
 
@@ -56,59 +56,63 @@
 }
 
 #[test]
-fn elect_is_the_same_for_all() {
-    let new = |n| candidate(n, 0, 0, 5);
-    assert_eq!(elect([new(9), new(4), new(200)].into_iter()), ip(4));
-    assert_eq!(elect([new(200), new(9), new(4)].into_iter()), ip(4));
+fn elect_is_independent_of_order() {
+    let idle = |n| candidate(n, 0, 0, 5);
+    assert_eq!(elect([idle(9), idle(4), idle(200)].into_iter()), ip(4));
+    assert_eq!(elect([idle(200), idle(9), idle(4)].into_iter()), ip(4));
     assert_eq!(elect(std::iter::empty()), None);
 }
 
-// An entry with a lower address comes back and takes all followers over, which read everything anew.
+// Guards against an entry with a lower address that takes over all followers when it returns, so that they
+// reload the complete state.
 #[test]
-fn elect_stays_where_it_is_followed() {
+fn elect_prefers_most_followers() {
     assert_eq!(elect([candidate(4, 0, 0, 5), candidate(9, 12, 0, 5)].into_iter()), ip(9));
 }
 
-// The root stands in another region than the store, so that each change crosses a border uncompressed.
+// Guards against a root in another region than the store, where each change is sent uncompressed between
+// regions.
 #[test]
-fn elect_root_prefers_the_region_of_the_store() {
-    let far = candidate(1, 40, 0, 11);
-    let near = candidate(2, 3, 0, 6);
-    assert_eq!(elect_root([far, near].into_iter()), ip(2));
-    assert_eq!(elect_root([near, candidate(3, 5, 0, 5)].into_iter()), ip(3));
+fn elect_root_prefers_low_store_latency() {
+    let high_latency = candidate(1, 40, 0, 11);
+    let low_latency = candidate(2, 3, 0, 6);
+    assert_eq!(elect_root([high_latency, low_latency].into_iter()), ip(2));
+    assert_eq!(elect_root([low_latency, candidate(3, 5, 0, 5)].into_iter()), ip(3));
 }
 
-// A relay that most of its region follow is taken for the root, and the fleet follows itself.
+// Guards against electing a relay with many followers as root: the tree would have a cycle and no connection to
+// the store.
 #[test]
-fn elect_root_asks_the_store() {
+fn elect_root_requires_direct_store_access() {
     let relay = candidate(1, 40, 1, 0);
     assert_eq!(elect_root([relay, candidate(2, 0, 0, 11)].into_iter()), ip(2));
     assert_eq!(elect_root([relay].into_iter()), None);
 }
 
-// The root loses the store, and all entries ask the store at the same moment.
+// Guards against all entries querying the store at the same time when the root has lost it.
 #[test]
-fn leaves_at_lets_the_successor_go_first() {
+fn detach_age_is_lowest_for_successors() {
     let ping = Duration::from_millis(150);
     let list = Duration::from_millis(100);
-    assert!(limits().leaves_at(1, true) + list < limits().leaves_at(1, false));
-    assert!(limits().leaves_at(1, false) + ping < limits().leaves_at(2, false));
-    assert_eq!(limits().leaves_at(2, true), limits().leaves_at(1, true));
+    assert!(limits().detach_age(1, true) + list < limits().detach_age(1, false));
+    assert!(limits().detach_age(1, false) + ping < limits().detach_age(2, false));
+    assert_eq!(limits().detach_age(2, true), limits().detach_age(1, true));
 }
 
-// What a watch waits, a ping and the time of the store must not make a follower leave a parent that is sound.
+// Guards against followers that detach from a healthy parent because of the watch timeout, the ping interval and
+// the store's latency.
 #[test]
-fn leaves_at_outlasts_the_wait_of_a_watch() {
+fn detach_age_exceeds_watch_timeout() {
     for bound_ms in [2_000, 3_000, 4_000] {
         let limits = AgeLimits::new(Duration::from_millis(bound_ms));
         let ping = Duration::from_millis(150);
-        assert!(limits.endpoints_wait() + ping < limits.leaves_at(1, true), "{bound_ms}");
-        assert!(limits.leaves_at(2, false) < Duration::from_millis(bound_ms), "{bound_ms}");
+        assert!(limits.endpoints_watch_timeout() + ping < limits.detach_age(1, true), "{bound_ms}");
+        assert!(limits.detach_age(2, false) < Duration::from_millis(bound_ms), "{bound_ms}");
     }
 }
 
 #[test]
-fn peer_list_is_sent_once() {
+fn peer_list_is_omitted_if_known() {
     let peer = |n| PeerEndpoint { address: ([10, 0, 0, n], 80).into(), zone: "a".into() };
     let first = PeerList::new(vec![peer(1), peer(2)], 0);
     assert_eq!(first.peers.as_ref().map(Vec::len), Some(2));
@@ -116,19 +120,21 @@
     assert!(PeerList::new(vec![peer(1)], first.id).peers.is_some());
 }
 
-// Guards against a root that steps down for every entry that one agent names while others still follow it.
+// Guards against a root that steps down for each entry nominated by a single agent while others still follow it.
 #[test]
-fn steady_needs_the_same_name_all_the_time() {
+fn stable_for_requires_uninterrupted_nomination() {
     let (one, two) = (IpAddr::from([10, 0, 0, 1]), IpAddr::from([10, 0, 0, 2]));
     let span = Duration::from_millis(2_000);
-    let named =
-        Named::default().note(one, Time::from_millis(0)).note(one, Time::from_millis(1_900));
-    assert_eq!(named.steady(span, Time::from_millis(1_950)), None);
+    let nomination = Nomination::default()
+        .record(one, Time::from_millis(0))
+        .record(one, Time::from_millis(1_900));
+    assert_eq!(nomination.stable_for(span, Time::from_millis(1_950)), None);
     assert_eq!(
-        named.note(one, Time::from_millis(2_050)).steady(span, Time::from_millis(2_100)),
+        nomination.record(one, Time::from_millis(2_050)).stable_for(span, Time::from_millis(2_100)),
         Some(one)
     );
-    let wavering = named.note(two, Time::from_millis(2_060)).note(one, Time::from_millis(2_070));
-    assert_eq!(wavering.last(), Some(one));
-    assert_eq!(wavering.steady(span, Time::from_millis(2_100)), None);
+    let interrupted =
+        nomination.record(two, Time::from_millis(2_060)).record(one, Time::from_millis(2_070));
+    assert_eq!(interrupted.last(), Some(one));
+    assert_eq!(interrupted.stable_for(span, Time::from_millis(2_100)), None);
 }
--- a/core/tests/direct/rollout.rs
+++ b/core/tests/direct/rollout.rs
@@ -1,18 +1,18 @@
 use std::time::Duration;
 
 use mastichaven_core::Time;
-use mastichaven_core::direct::rollout::Progress;
-use mastichaven_core::direct::rollout::Situation;
+use mastichaven_core::direct::rollout::DownloadProgress;
+use mastichaven_core::direct::rollout::HostState;
+use mastichaven_core::direct::rollout::estimate_ready_in;
 use mastichaven_core::direct::rollout::may_load;
-use mastichaven_core::direct::rollout::ready_in;
 
 const BOUND: Duration = Duration::from_secs(8);
 
-fn situation(rank: u32, hosts: u32) -> Situation {
-    Situation {
+fn host_state(rank: u32, hosts: u32) -> HostState {
+    HostState {
         is_barred: false,
         staged: 2,
-        named_at: Time::ZERO,
+        announced_at: Time::ZERO,
         held: Some(1),
         outdated_since: Time::ZERO,
         rank,
@@ -21,63 +21,66 @@
     }
 }
 
-fn first_load(situation: &Situation) -> Duration {
+fn first_load_time(state: &HostState) -> Duration {
     let times = (0..10_000).map(Time::from_millis);
-    let found = times.into_iter().find(|now| may_load(situation, *now));
-    found.expect("loads at some time").since(Time::ZERO)
+    let found = times.into_iter().find(|now| may_load(state, *now));
+    found.expect("the host loads within 10 s").since(Time::ZERO)
 }
 
-// 24 hosts get a version at about the same time. If all emptied at once, callers of the model would
-// find nobody for about a second and a half.
+// 24 hosts complete the download of a version at about the same time. If all drained at once, the model would be
+// unavailable for about a second and a half.
 #[test]
-fn may_load_spreads_hosts_over_the_bound() {
-    let turns: Vec<Duration> = (0..24).map(|rank| first_load(&situation(rank, 24))).collect();
-    let away = Duration::from_millis(1_300);
-    for from in &turns {
-        let together = turns.iter().filter(|at| *at >= from && **at < *from + away).count();
-        assert!(together <= 10, "{together} of 24 away at once");
+fn may_load_spreads_hosts_over_bound() {
+    let load_times: Vec<Duration> =
+        (0..24).map(|rank| first_load_time(&host_state(rank, 24))).collect();
+    let unavailable_for = Duration::from_millis(1_300);
+    for from in &load_times {
+        let concurrent =
+            load_times.iter().filter(|at| *at >= from && **at < *from + unavailable_for).count();
+        assert!(concurrent <= 10, "{concurrent} of 24 hosts unavailable at the same time");
     }
-    assert!(turns.iter().all(|at| *at < BOUND.mul_f64(0.85)));
+    assert!(load_times.iter().all(|at| *at < BOUND.mul_f64(0.85)));
 }
 
-// A new endpoint has no weights and answers nobody. Waiting for a turn would only delay it.
+// A new endpoint without weights serves no requests, so a delay would have no benefit.
 #[test]
 fn may_load_at_once_without_weights() {
-    let empty = Situation { held: None, ..situation(23, 24) };
+    let empty = HostState { held: None, ..host_state(23, 24) };
     assert!(may_load(&empty, Time::ZERO));
 }
 
-// Version 3 is named shortly after 2, before 2 was whole anywhere. A host that waited for its turn
-// of version 3 would still hold version 1 after the bound of version 2.
+// Version 3 is announced shortly after version 2, before any host has completed version 2. A host that waited
+// for its load time of version 3 would still have version 1 after the bound of version 2.
 #[test]
-fn may_load_in_time_for_the_first_version_missed() {
-    let named_at = Time::from_millis(4_000);
-    let late = Situation { staged: 3, named_at, ..situation(23, 24) };
-    assert!(first_load(&late) < BOUND);
+fn may_load_within_bound_of_first_missed_version() {
+    let announced_at = Time::from_millis(4_000);
+    let late = HostState { staged: 3, announced_at, ..host_state(23, 24) };
+    assert!(first_load_time(&late) < BOUND);
 }
 
 #[test]
-fn may_load_nothing_that_is_held() {
-    let current = Situation { held: Some(2), ..situation(0, 24) };
+fn may_load_is_false_if_version_is_loaded() {
+    let current = HostState { held: Some(2), ..host_state(0, 24) };
     assert!(!may_load(&current, Time::from_millis(60_000)));
 }
 
-// Guards against seconds without any endpoint that may answer: a version was named while the store was away,
-// entries send nothing to the older one any more, and hosts wait for their turns.
+// Guards against seconds without any available endpoint: a version was announced during a store outage, entries
+// no longer route requests to the older version, and hosts still wait for their load times.
 #[test]
-fn may_load_at_once_when_entries_bar_what_is_held() {
-    let waiting = situation(23, 24);
-    assert!(!may_load(&waiting, waiting.named_at));
-    assert!(may_load(&Situation { is_barred: true, ..waiting }, waiting.named_at));
+fn may_load_at_once_if_loaded_version_is_barred() {
+    let waiting = host_state(23, 24);
+    assert!(!may_load(&waiting, waiting.announced_at));
+    assert!(may_load(&HostState { is_barred: true, ..waiting }, waiting.announced_at));
 }
 
-// Guards against callers that are told a time from the first few chunks, which come before all links are busy.
+// Guards against an estimate for callers that is based on the first few chunks, which arrive before all links
+// are busy.
 #[test]
-fn ready_in_follows_the_pace_of_chunks() {
+fn estimate_ready_in_extrapolates_download_rate() {
     let load = Duration::from_millis(400);
     let elapsed = Duration::from_millis(600);
-    let progress = Progress { chunks: 64, missing: 48, elapsed };
-    assert_eq!(ready_in(&progress, load), Some(Duration::from_millis(2_200)));
-    assert_eq!(ready_in(&Progress { missing: 0, ..progress }, load), Some(load));
-    assert_eq!(ready_in(&Progress { missing: 62, ..progress }, load), None);
+    let progress = DownloadProgress { chunks: 64, missing: 48, elapsed };
+    assert_eq!(estimate_ready_in(&progress, load), Some(Duration::from_millis(2_200)));
+    assert_eq!(estimate_ready_in(&DownloadProgress { missing: 0, ..progress }, load), Some(load));
+    assert_eq!(estimate_ready_in(&DownloadProgress { missing: 62, ..progress }, load), None);
 }
--- a/core/tests/direct/subscribers.rs
+++ b/core/tests/direct/subscribers.rs
@@ -3,7 +3,7 @@
 
 use mastichaven_core::Time;
 use mastichaven_core::direct::replication::Offer;
-use mastichaven_core::direct::subscribers::Count;
+use mastichaven_core::direct::subscribers::EntryCount;
 use mastichaven_core::direct::subscribers::Subscriber;
 use mastichaven_core::direct::subscribers::Subscribers;
 
@@ -20,14 +20,14 @@
 }
 
 fn subscriber(followers: Option<u32>, depth: u8, ms: u64) -> Subscriber {
-    let offer = followers.map(|followers| Offer { followers, depth, store_ms: 5 });
+    let offer = followers.map(|followers| Offer { followers, depth, store_latency_ms: 5 });
     Subscriber {
         asked_us: 0,
-        at: now(ms),
+        received_at: now(ms),
         is_far: false,
         entries: None,
         oldest_weights: 0,
-        is_beside_origin: false,
+        is_in_origin_region: false,
         wants_reports: true,
         offer,
     }
@@ -37,10 +37,10 @@
     subscribers.renew(SocketAddr::new(ip(n), 7), subscriber(followers, 0, ms));
 }
 
-// The store turns the relay of a region away. It still asks for reports, and must not be named to the
-// others any more, which would follow nobody until it is back.
+// The store rejects the relay of a region, which continues to request reports. It must no longer be nominated,
+// or the other entries of the region would have no parent until it recovers.
 #[test]
-fn relay_changes_when_the_store_turns_it_away() {
+fn relay_changes_when_it_accepts_no_followers() {
     let mut subscribers = Subscribers::default();
     renew(&mut subscribers, 1, Some(2), 0);
     renew(&mut subscribers, 2, None, 0);
@@ -53,28 +53,28 @@
 }
 
 #[test]
-fn relay_that_falls_silent_is_not_named() {
+fn relay_expires_without_requests() {
     let mut subscribers = Subscribers::default();
     renew(&mut subscribers, 1, Some(2), 0);
     assert_eq!(subscribers.relay(now(900)), Some(ip(1)));
     assert_eq!(subscribers.relay(now(1_100)), None);
 }
 
-// The relay of a region is taken for the root, and asks itself what the store says.
+// Guards against electing the relay of a region as root: it would follow itself.
 #[test]
-fn root_asks_the_store_itself() {
+fn root_requires_direct_store_access() {
     let mut subscribers = Subscribers::default();
     subscribers.renew(SocketAddr::new(ip(1), 7), subscriber(Some(30), 1, 0));
     let root = Subscriber { is_far: true, ..subscriber(Some(4), 0, 0) };
     subscribers.renew(SocketAddr::new(ip(2), 7), root);
     assert_eq!(subscribers.relay(now(10)), Some(ip(1)));
     assert_eq!(subscribers.root(now(10)), Some(ip(2)));
-    assert_eq!(subscribers.near_entries(now(10)), [ip(1)]);
+    assert_eq!(subscribers.regional_entries(now(10)), [ip(1)]);
     assert_eq!(subscribers.root(now(1_700)), None);
 }
 
 #[test]
-fn receivers_spares_other_regions_now_and_then() {
+fn receivers_of_other_regions_only_if_requested() {
     let mut subscribers = Subscribers::default();
     renew(&mut subscribers, 1, None, 0);
     let far = Subscriber { is_far: true, ..subscriber(Some(3), 0, 0) };
@@ -85,9 +85,9 @@
     assert_eq!(subscribers.len(now(3_600)), 0);
 }
 
-// Each entry is sent the reports of all endpoints, and the links between regions are full of them.
+// Guards against saturated links between regions from sending the reports of all endpoints to every entry.
 #[test]
-fn receivers_are_those_that_want_reports() {
+fn receivers_exclude_entries_without_reports() {
     let mut subscribers = Subscribers::default();
     renew(&mut subscribers, 1, None, 0);
     let announced = Subscriber { is_far: true, wants_reports: false, ..subscriber(None, 0, 0) };
@@ -97,35 +97,39 @@
     assert_eq!(subscribers.len(now(100)), 2);
 }
 
-// Guards against a cold endpoint that gets many times what it bears: an agent that has just started has
-// heard a few of the entries only.
+// Guards against a cold endpoint that receives many times its capacity: an agent that has just started has
+// received requests from only a few of the entries.
 #[test]
-fn count_of_a_new_agent_goes_by_what_entries_know() {
+fn count_of_new_agent_uses_reported_count() {
     let mut subscribers = Subscribers::default();
-    let told = Subscriber { entries: Some(36), ..subscriber(None, 0, 5_000) };
-    subscribers.renew(address(1), told);
-    let expected = Count { entries: 36, is_of_all: true };
+    let with_count = Subscriber { entries: Some(36), ..subscriber(None, 0, 5_000) };
+    subscribers.renew(address(1), with_count);
+    let expected = EntryCount { entries: 36, is_complete: true };
     assert_eq!(subscribers.count(now(4_900), now(5_010)), expected);
-    // Once it has listened long enough it goes by what it has heard: entries may have gone.
-    subscribers.renew(address(1), Subscriber { at: now(6_800), ..told });
+    // After the settle delay the agent uses its own count, because entries may have been removed.
+    subscribers.renew(address(1), Subscriber { received_at: now(6_800), ..with_count });
     assert_eq!(subscribers.count(now(4_900), now(6_900)).entries, 1);
 }
 
-// Guards against seconds of refusals after a loss of all power, with every endpoint cold and no count.
+// Guards against seconds of rejected requests after a complete power failure, when every endpoint is cold and no
+// entry reports a count.
 #[test]
-fn count_is_of_all_soon_after_all_have_started() {
+fn count_is_complete_after_cold_start() {
     let mut subscribers = Subscribers::default();
     for n in 1..=20 {
         subscribers.renew(address(n), subscriber(None, 0, 300));
     }
-    assert!(!subscribers.count(now(0), now(500)).is_of_all);
-    assert_eq!(subscribers.count(now(0), now(1_100)), Count { entries: 20, is_of_all: true });
+    assert!(!subscribers.count(now(0), now(500)).is_complete);
+    assert_eq!(
+        subscribers.count(now(0), now(1_100)),
+        EntryCount { entries: 20, is_complete: true }
+    );
 }
 
-// Guards against a fleet that empties all at once for one entry that has just started and takes a version
-// that was named a moment ago for an old one.
+// Guards against a fleet that drains all endpoints at once because a single entry has just started and treats
+// the bound of a newly announced version as expired.
 #[test]
-fn is_barred_needs_most_entries() {
+fn is_barred_requires_majority() {
     let mut subscribers = Subscribers::default();
     for n in 1..=3 {
         subscribers.renew(address(n), Subscriber { oldest_weights: 1, ..subscriber(None, 0, 0) });
@@ -140,15 +144,15 @@
 }
 
 #[test]
-fn caches_are_entries_of_the_region_and_those_beside_the_origin() {
+fn caches_of_own_region_and_origin_region() {
     let mut subscribers = Subscribers::default();
     subscribers.renew(address(1), subscriber(None, 0, 0));
     let far = Subscriber { is_far: true, ..subscriber(None, 0, 0) };
     subscribers.renew(address(2), far);
-    subscribers.renew(address(3), Subscriber { is_beside_origin: true, ..far });
-    let (near, beside_origin) = subscribers.caches(now(100));
-    assert_eq!(near, [address(1).ip()]);
-    assert_eq!(beside_origin, [address(3).ip()]);
-    // One of the region that has not asked for a second is passed over.
+    subscribers.renew(address(3), Subscriber { is_in_origin_region: true, ..far });
+    let (regional, in_origin_region) = subscribers.caches(now(100));
+    assert_eq!(regional, [address(1).ip()]);
+    assert_eq!(in_origin_region, [address(3).ip()]);
+    // Excludes entries of the region without a request in the last second.
     assert!(subscribers.caches(now(1_500)).0.is_empty());
 }
--- a/node/src/direct/agent.rs
+++ b/node/src/direct/agent.rs
@@ -106,7 +106,7 @@
         place,
         setup: RefCell::default(),
         newest: Cell::new(None),
-        versions: RefCell::new(Versions::first(0)),
+        versions: RefCell::new(Versions::new(0)),
         rank: Cell::new((0, 1)),
         peer_list: Cell::new(0),
         report: RefCell::default(),
--- a/node/src/direct/agent/loading.rs
+++ b/node/src/direct/agent/loading.rs
@@ -5,7 +5,7 @@
 
 use mastichaven_core::Time;
 use mastichaven_core::direct::rollout;
-use mastichaven_core::direct::rollout::Situation;
+use mastichaven_core::direct::rollout::HostState;
 use mastichaven_platform::engine::LoadMode;
 use tokio::time::sleep;
 
@@ -46,17 +46,17 @@
         }
     }
 
-    fn situation(&self, target: &Target) -> Situation {
+    fn situation(&self, target: &Target) -> HostState {
         let held = self.held();
         let versions = self.versions.borrow();
-        let named_at = versions.named_at(target.version).unwrap_or_default();
-        let outdated_since = versions.outdated_since(held.unwrap_or(0)).unwrap_or(named_at);
+        let announced_at = versions.announced_at(target.version).unwrap_or_default();
+        let outdated_since = versions.outdated_since(held.unwrap_or(0)).unwrap_or(announced_at);
         let (rank, hosts) = self.rank.get();
         let bound = Duration::from_millis(self.cfg.bounds.weights_ms);
         let now = self.clock.now();
         let is_barred = held.is_some_and(|held| self.subscribers.borrow().is_barred(held, now));
         let staged = target.version;
-        Situation { staged, named_at, held, outdated_since, rank, hosts, bound, is_barred }
+        HostState { staged, announced_at, held, outdated_since, rank, hosts, bound, is_barred }
     }
 
     /// Time until the endpoint serves, unless it does or that is not known.
@@ -66,7 +66,7 @@
         if serves {
             return None;
         }
-        rollout::ready_in(&self.swarm.progress()?, self.load_time.get())
+        rollout::estimate_ready_in(&self.swarm.progress()?, self.load_time.get())
     }
 
     async fn order(&self, target: &Target) {
--- a/node/src/direct/agent/reports.rs
+++ b/node/src/direct/agent/reports.rs
@@ -36,11 +36,11 @@
             let oldest = req.weights.iter().find(|weights| own.as_ref() == Some(&weights.model));
             let subscriber = Subscriber {
                 asked_us: req.sent_us,
-                at: self.clock.now(),
+                received_at: self.clock.now(),
                 is_far: req.is_far,
                 entries: req.entries,
                 oldest_weights: oldest.map_or(0, |weights| weights.oldest),
-                is_beside_origin: req.is_beside_origin,
+                is_in_origin_region: req.is_beside_origin,
                 wants_reports: req.wants_reports,
                 offer: req.offer,
             };
@@ -82,7 +82,7 @@
             let now = self.clock.now();
             let count = self.subscribers.borrow().count(self.started, now);
             load.entries = count.entries;
-            load.is_count_complete = count.is_of_all;
+            load.is_count_complete = count.is_complete;
             load.readers = self.subscribers.borrow().readers(now) as u32;
             load.ready_in = self.ready_in(now);
             load.relay = self.subscribers.borrow().relay(now);
@@ -92,7 +92,7 @@
             let is_turned = last.as_ref().is_none_or(|last| !serves_alike(last, &load));
             turn += 1;
             if same % SAME_REPORT_EVERY == 0 || is_turned {
-                let setup_id = setup.as_ref().map_or(0, ModelSetup::id);
+                let setup_id = setup.as_ref().map_or(0, ModelSetup::fingerprint);
                 let is_for_all = is_turned || turn % FAR_EVERY == 0;
                 self.send(&socket, load.clone(), setup_id, is_for_all);
             }
@@ -139,7 +139,7 @@
                 report.root = root.filter(|_| !subscriber.is_far);
             }
             msg.asked_us = subscriber.asked_us;
-            msg.held_us = now.since(subscriber.at).as_micros() as u64;
+            msg.held_us = now.since(subscriber.received_at).as_micros() as u64;
             match postcard::to_stdvec(&msg) {
                 // A datagram may be lost anyway; the next report follows.
                 Ok(bytes) => drop(socket.try_send_to(&bytes, address)),
--- a/node/src/direct/agent/setup.rs
+++ b/node/src/direct/agent/setup.rs
@@ -90,8 +90,8 @@
         let Some(catalog) = objects.iter().find_map(config::scan_config) else {
             return;
         };
-        let own = self.cfg.service.as_ref().and_then(|service| catalog.setup(service));
-        let any = || catalog.services().find_map(|service| catalog.setup(&service.name));
+        let own = self.cfg.service.as_ref().and_then(|service| catalog.model_setup(service));
+        let any = || catalog.services().find_map(|service| catalog.model_setup(&service.name));
         if let Some(setup) = own.or_else(any) {
             self.apply_setup(SetupUpdate { version: catalog.version(), setup });
         }
@@ -152,8 +152,8 @@
 
     async fn ask_entries_for_peers(&self) -> Option<PeerList> {
         let service = self.cfg.service.clone()?;
-        let hello = Hello::Peers { service, known: self.peer_list.get() };
-        let mut entries = self.subscribers.borrow().near_entries(self.clock.now());
+        let hello = Hello::Peers { service, known_id: self.peer_list.get() };
+        let mut entries = self.subscribers.borrow().regional_entries(self.clock.now());
         entries.shuffle(&mut rand::rng());
         for ip in entries.into_iter().take(PEERS_TRIES) {
             let address = SocketAddr::new(ip, self.cfg.agent_port);
@@ -230,7 +230,7 @@
         slog::info!(self.log, "weights named"; "model" => model.as_str(), "version" => version);
         let now = self.clock.now();
         self.newest.set(Some((version, now)));
-        self.versions.borrow_mut().name(version, now);
+        self.versions.borrow_mut().record_announcement(version, now);
         self.swarm.want(model, version, self.held());
         self.updated.notify_one();
     }
--- a/node/src/direct/attempt.rs
+++ b/node/src/direct/attempt.rs
@@ -10,7 +10,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use mastichaven_core::Time;
-use mastichaven_core::direct::catalog::Repeat;
+use mastichaven_core::direct::catalog::RetryPolicy;
 use mastichaven_core::direct::endpoint::EndpointKey;
 use mastichaven_core::direct::endpoint::Listed;
 use mastichaven_core::direct::versions::Versions;
@@ -113,10 +113,10 @@
     if trail.arrivals == 1 {
         state.with_budget(&call.service, |budget| budget.first(now));
     }
-    let patience = match call.route.repeat {
-        Repeat::Idempotent => call.route.objective.mul_f64(PATIENCE_OBJECTIVES),
-        Repeat::Resumable => FIRST_EVENT_WITHIN,
-        Repeat::Once => left,
+    let patience = match call.route.retry_policy {
+        RetryPolicy::Idempotent => call.route.objective.mul_f64(PATIENCE_OBJECTIVES),
+        RetryPolicy::Resumable => FIRST_EVENT_WITHIN,
+        RetryPolicy::AtMostOnce => left,
     };
     let sent = timeout(left.min(patience), link.send(req)).await;
     let response = match sent.unwrap_or(Err(LinkError::TimedOut)) {
--- a/node/src/direct/followers.rs
+++ b/node/src/direct/followers.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
+use mastichaven_core::direct::replication::MAX_SUCCESSORS;
 use mastichaven_core::direct::replication::Message;
-use mastichaven_core::direct::replication::SUCCESSORS;
 use mastichaven_core::direct::replication::Update;
 use tokio::sync::Notify;
 
@@ -92,7 +92,7 @@
     /// The entries that have followed this one for longest.
     pub(super) fn successors(&self) -> Vec<IpAddr> {
         let followers = self.followers.borrow();
-        followers.iter().take(SUCCESSORS).map(|follower| follower.ip).collect()
+        followers.iter().take(MAX_SUCCESSORS).map(|follower| follower.ip).collect()
     }
 
     /// Entries that follow this one.
--- a/node/src/direct/forward.rs
+++ b/node/src/direct/forward.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http::Response;
 use mastichaven_core::Time;
-use mastichaven_core::direct::catalog::Repeat;
+use mastichaven_core::direct::catalog::RetryPolicy;
 use mastichaven_platform::answer;
 use tokio::time::timeout;
 
@@ -51,7 +51,7 @@
                         trail.steps.run = attempted.spent(state, trail);
                         return Ok(response);
                     }
-                    Err(_) if call.route.repeat == Repeat::Resumable => {}
+                    Err(_) if call.route.retry_policy == RetryPolicy::Resumable => {}
                     Err(e) => return Err(lost(e)),
                 }
             }
@@ -60,15 +60,17 @@
                     trail.steps.run = attempted.spent(state, trail);
                     return Ok(response);
                 }
-                Err(_) if call.route.repeat == Repeat::Idempotent => {}
+                Err(_) if call.route.retry_policy == RetryPolicy::Idempotent => {}
                 Err(e) => return Err(lost(e)),
             },
-            Outcome::Failed(answer) if call.route.repeat == Repeat::Once => {
+            Outcome::Failed(answer) if call.route.retry_policy == RetryPolicy::AtMostOnce => {
                 return Ok(pass_on(answer));
             }
             Outcome::Failed(answer) => failed = Some(answer),
             Outcome::NotRun => {}
-            Outcome::Lost(e) if call.route.repeat == Repeat::Once => return Err(lost(e)),
+            Outcome::Lost(e) if call.route.retry_policy == RetryPolicy::AtMostOnce => {
+                return Err(lost(e));
+            }
             Outcome::Lost(_) => {}
         }
         trail.steps.lost += attempted.spent(state, trail);
--- a/node/src/direct/gateway.rs
+++ b/node/src/direct/gateway.rs
@@ -117,18 +117,18 @@
     if !state.knows_all() {
         return Err(Barred::Starting);
     }
-    if !state.freshness.borrow().holds(arrived) {
+    if !state.freshness.borrow().is_valid(arrived) {
         return Err(Barred::Stale);
     }
     let catalog = state.catalog.borrow().clone().ok_or(Barred::Starting)?;
     let route = catalog.route(&head.host, req.uri().path()).ok_or(Barred::UnknownRoute)?.clone();
     let customer = customer_of(&catalog, &route, head)?;
     let draw = state.with_rng(|rng| rng.random::<f64>());
-    let service = route.service(draw).ok_or(Barred::UnknownRoute)?.clone();
+    let service = route.pick_service(draw).ok_or(Barred::UnknownRoute)?.clone();
     let cold_per_second = catalog.service(&service).map_or(0.0, |s| s.cold_per_second);
     let limits = catalog.limits();
     let (parts, body) = req.into_parts();
-    let body = read_body(body, limits.body_len, limits.head_timeout).await?;
+    let body = read_body(body, limits.max_body_len, limits.head_timeout).await?;
     let allowed = head.deadline.unwrap_or(USUAL_DEADLINE).min(route.timeout);
     let is_late = state.is_late(&route, allowed, arrived);
     Ok(Call {
@@ -154,7 +154,7 @@
     head: &CallHead,
 ) -> Result<Option<Customer>, Barred> {
     let customer = head.key.as_deref().and_then(|key| catalog.customer(key));
-    if customer.is_none() && catalog.has_customers() && !route.is_open {
+    if customer.is_none() && catalog.has_customers() && !route.allows_anonymous {
         return Err(Barred::UnknownKey);
     }
     Ok(customer.cloned())
--- a/node/src/direct/load_reports.rs
+++ b/node/src/direct/load_reports.rs
@@ -161,10 +161,10 @@
             self.has_fresh_neighbour.set(report.relay.is_some_and(|relay| relay != self.cfg.ip));
         }
         if let Some(relay) = report.relay {
-            self.relay.set(self.relay.get().note(relay, now));
+            self.relay.set(self.relay.get().record(relay, now));
         }
         if let Some(root) = report.root {
-            self.root.set(self.root.get().note(root, now));
+            self.root.set(self.root.get().record(root, now));
         }
         let round_trip = now.since(sent);
         roster.reported(address, report, asked, round_trip, draw, now);
@@ -183,7 +183,7 @@
         };
         let earliest = time_before(sent, known_for).unwrap_or_default();
         let newest = versions.newest();
-        versions.known_since(named.version, earliest, latest);
+        versions.record_announced_by(named.version, earliest, latest);
         if versions.newest() > newest {
             slog::info!(self.log, "weights named"; "model" => named.model.as_str(),
                 "version" => named.version, "from" => "agent",
@@ -277,10 +277,11 @@
         known_id: u32,
     ) -> postcard::Result<Bytes> {
         let catalog = self.catalog.as_ref();
-        let setup_of = || catalog.and_then(|catalog| catalog.setup(service));
+        let setup_of = || catalog.and_then(|catalog| catalog.model_setup(service));
         let setup = self.setups.entry(service.clone()).or_insert_with(setup_of);
         // Agents that do not report do not tell what they know; their own region's entries see to it.
-        let is_unknown = |setup: &&ModelSetup| reach != Reach::Uncovered && setup.id() != known_id;
+        let is_unknown =
+            |setup: &&ModelSetup| reach != Reach::Uncovered && setup.fingerprint() != known_id;
         let missing = setup.as_ref().filter(is_unknown);
         let key = (service.clone(), reach, missing.is_some());
         if let Some(bytes) = self.encoded.get(&key) {
--- a/node/src/direct/placement.rs
+++ b/node/src/direct/placement.rs
@@ -90,11 +90,11 @@
     now: Time,
 ) -> std::result::Result<EndpointKey, Unavailable> {
     let oldest = call.head.model.as_deref().map(|model| (model, state.oldest_weights(model, now)));
-    let customer_regions = call.customer.as_ref().map(|c| c.regions.as_slice());
+    let customer_regions = call.customer.as_ref().map(|c| c.allowed_regions.as_slice());
     let need = Need {
         service: &call.service,
         model: oldest,
-        regions: [&call.route.regions, customer_regions.unwrap_or_default()],
+        regions: [&call.route.allowed_regions, customer_regions.unwrap_or_default()],
         tried: &trail.tried,
         cold_per_second: call.cold_per_second,
         is_late: call.is_late,
--- a/node/src/direct/publisher.rs
+++ b/node/src/direct/publisher.rs
@@ -69,15 +69,15 @@
     link::prepare(&stream)?;
     let hello = timeout(HELLO_WITHIN, peers::read(&mut stream)).await;
     match hello.map_err(|_| ReplicationError::Silent)?? {
-        Hello::Follow { ip, config } => {
+        Hello::Follow { ip, config_version } => {
             let follower = Rc::new(Outbox::new(ip));
-            let ended = serve_follower(state, stream, &follower, config).await;
+            let ended = serve_follower(state, stream, &follower, config_version).await;
             state.publisher.followers.borrow_mut().retain(|other| !Rc::ptr_eq(other, &follower));
             ended
         }
-        Hello::Peers { service, known } => {
+        Hello::Peers { service, known_id } => {
             if state.knows_all() {
-                peers::write(&mut stream, &state.peer_list(&service, known)).await?;
+                peers::write(&mut stream, &state.peer_list(&service, known_id)).await?;
             }
             Ok(())
         }
--- a/node/src/direct/replication.rs
+++ b/node/src/direct/replication.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use mastichaven_core::direct::replication::MAX_PARENT_DEPTH;
-use mastichaven_core::direct::replication::Named;
+use mastichaven_core::direct::replication::Nomination;
 use mastichaven_core::direct::replication::Offer;
 use rand::RngExt;
 use tokio::time::sleep;
@@ -93,10 +93,10 @@
     /// for themselves until it is back, and it would follow nobody and refuse its callers.
     pub fn offer(&self) -> Option<Offer> {
         let may_be_followed =
-            self.is_sound() && self.age_limits().are_young(&self.ages(), Duration::ZERO);
+            self.is_sound() && self.age_limits().are_fresh(&self.ages(), Duration::ZERO);
         let followers = self.publisher.len() as u32;
-        let store_ms = self.store_time.get().as_millis() as u16;
-        may_be_followed.then(|| Offer { followers, depth: self.depth(), store_ms })
+        let store_latency_ms = self.store_time.get().as_millis() as u16;
+        may_be_followed.then(|| Offer { followers, depth: self.depth(), store_latency_ms })
     }
 
     /// Whether this entry goes on serving those that follow it.
@@ -139,9 +139,9 @@
     }
 
     /// The entry that agents name, if this one may go by that.
-    fn named(&self, named: Named) -> Option<IpAddr> {
+    fn named(&self, named: Nomination) -> Option<IpAddr> {
         if self.is_followed_root() {
-            return named.steady(ROOT_STEADY, self.now());
+            return named.stable_for(ROOT_STEADY, self.now());
         }
         named.last()
     }
--- a/node/src/direct/replication/parent.rs
+++ b/node/src/direct/replication/parent.rs
@@ -55,7 +55,7 @@
     let connected = timeout(CONNECT_WITHIN, TcpStream::connect(address)).await;
     let mut stream = connected.map_err(|_| ReplicationError::Silent)??;
     link::prepare(&stream)?;
-    let hello = Hello::Follow { ip: state.cfg.ip, config: state.config_version() };
+    let hello = Hello::Follow { ip: state.cfg.ip, config_version: state.config_version() };
     peers::write(&mut stream, &hello).await?;
     let (mut read, write) = stream.into_split();
     tokio::select! {
@@ -78,7 +78,7 @@
 async fn until_old(state: &State, is_proven: &Cell<bool>) {
     loop {
         sleep(AGE_EVERY).await;
-        let limit = state.age_limits().leaves_at(state.depth(), state.is_successor());
+        let limit = state.age_limits().detach_age(state.depth(), state.is_successor());
         let age = state.ages().endpoints;
         if is_proven.get() && age.is_none_or(|age| age >= limit) {
             return;
@@ -125,7 +125,7 @@
             Message::NotAvailable => return Err(ReplicationError::NotAvailable),
             Message::Pong { asked_us, ages, depth, successors } => {
                 asked = Time::from_micros(asked_us);
-                if !state.age_limits().are_young(&ages, state.now().since(asked)) {
+                if !state.age_limits().are_fresh(&ages, state.now().since(asked)) {
                     return Err(ReplicationError::Old);
                 }
                 if depth > MAX_PARENT_DEPTH {
@@ -154,8 +154,8 @@
 /// one past its bound.
 fn aged(update: Update, span: Duration) -> Update {
     match update {
-        Update::Weights { model, version, ago: Some(ago) } => {
-            Update::Weights { model, version, ago: Some(ago + span) }
+        Update::Weights { model, version, age: Some(age) } => {
+            Update::Weights { model, version, age: Some(age + span) }
         }
         other => other,
     }
--- a/node/src/direct/state.rs
+++ b/node/src/direct/state.rs
@@ -15,7 +15,7 @@
 use mastichaven_core::direct::freshness::Freshness;
 use mastichaven_core::direct::lateness::LongestWait;
 use mastichaven_core::direct::replication::AgeLimits;
-use mastichaven_core::direct::replication::Named;
+use mastichaven_core::direct::replication::Nomination;
 use mastichaven_core::direct::retry_after::Cause;
 use mastichaven_core::direct::retry_after::retry_after;
 use mastichaven_core::direct::roster::Roster;
@@ -92,11 +92,11 @@
     /// When the read of each kind was sent that the store answered last.
     pub confirmed: RefCell<HashMap<Kind, Time>>,
     /// The entry that the others of the region follow, as agents named it last.
-    pub relay: Cell<Named>,
+    pub relay: Cell<Nomination>,
     /// Whether agents of the region know another entry of it that may be followed.
     pub has_fresh_neighbour: Cell<bool>,
     /// The entry that watches the store for all regions, as agents named it last.
-    pub root: Cell<Named>,
+    pub root: Cell<Nomination>,
     /// The entry that this one follows, and the distance from the store that it has with it.
     pub parent: Cell<Option<(IpAddr, u8)>>,
     /// The entries that ask the store if the parent is lost.
@@ -174,7 +174,7 @@
 
     /// Whether new connections are welcome: all that an answer needs is known and fresh.
     pub fn is_ready(&self, now: Time) -> bool {
-        !self.is_stopping.get() && self.knows_all() && self.freshness.borrow().holds(now)
+        !self.is_stopping.get() && self.knows_all() && self.freshness.borrow().is_valid(now)
     }
 
     /// Whether each kind of object was read or told in this life. An entry that has started and can't read
@@ -195,7 +195,7 @@
 
     /// Endpoints were taken in, or confirmed as they are.
     pub fn note_list(&self) {
-        if self.age_limits().has_young_endpoints(&self.ages()) {
+        if self.age_limits().has_fresh_endpoints(&self.ages()) {
             self.has_young_list.set(true);
         }
     }
--- a/node/src/direct/stream.rs
+++ b/node/src/direct/stream.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use http::Response;
 use http_body_util::BodyExt;
-use mastichaven_core::direct::catalog::Repeat;
-use mastichaven_core::direct::events::EventCutter;
+use mastichaven_core::direct::catalog::RetryPolicy;
+use mastichaven_core::direct::events::EventSplitter;
 use mastichaven_platform::answer;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
@@ -45,10 +45,10 @@
     let mut head = Response::new(());
     *head.status_mut() = run.response.status();
     *head.headers_mut() = answer::caller_headers(run.response.headers().clone());
-    let mut cutter = EventCutter::default();
-    let patience = match call.route.repeat {
-        Repeat::Resumable => FIRST_EVENT_WITHIN,
-        Repeat::Idempotent | Repeat::Once => call.deadline.since(state.now()),
+    let mut cutter = EventSplitter::default();
+    let patience = match call.route.retry_policy {
+        RetryPolicy::Resumable => FIRST_EVENT_WITHIN,
+        RetryPolicy::Idempotent | RetryPolicy::AtMostOnce => call.deadline.since(state.now()),
     };
     let wait = patience.min(call.deadline.since(state.now()));
     let first = timeout(wait, next_events(&mut run, &mut cutter)).await;
@@ -72,7 +72,7 @@
 }
 
 /// The next whole events, `None` at the proper end of the stream.
-async fn next_events(run: &mut Run, cutter: &mut EventCutter) -> Result<Option<Bytes>> {
+async fn next_events(run: &mut Run, cutter: &mut EventSplitter) -> Result<Option<Bytes>> {
     loop {
         let Some(frame) = run.response.body_mut().frame().await else {
             // An end inside an event is no end.
@@ -102,7 +102,7 @@
     state: Rc<State>,
     call: Rc<Call>,
     mut run: Run,
-    mut cutter: EventCutter,
+    mut cutter: EventSplitter,
     mut trail: Trail,
     tx: PieceSender,
 ) {
@@ -138,12 +138,13 @@
     state: &State,
     call: &Call,
     run: &mut Run,
-    cutter: &mut EventCutter,
+    cutter: &mut EventSplitter,
     tx: &PieceSender,
 ) -> StreamEnd {
     loop {
         let left = call.deadline.since(state.now());
-        let silence = if call.route.repeat == Repeat::Resumable { SILENT_STREAM } else { left };
+        let silence =
+            if call.route.retry_policy == RetryPolicy::Resumable { SILENT_STREAM } else { left };
         let events = tokio::select! {
             events = timeout(silence.min(left), next_events(run, cutter)) => events,
             () = tx.closed() => return StreamEnd::CallerLeft,
@@ -175,10 +176,10 @@
 async fn resume(
     state: &Rc<State>,
     call: &Call,
-    cutter: &mut EventCutter,
+    cutter: &mut EventSplitter,
     trail: &mut Trail,
 ) -> Option<Run> {
-    if call.route.repeat != Repeat::Resumable {
+    if call.route.retry_policy != RetryPolicy::Resumable {
         return None;
     }
     cutter.drop_partial();
--- a/node/src/direct/swarm.rs
+++ b/node/src/direct/swarm.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use mastichaven_core::Manifest;
 use mastichaven_core::direct::caches::Caches;
-use mastichaven_core::direct::rollout::Progress;
+use mastichaven_core::direct::rollout::DownloadProgress;
 use mastichaven_core::ids::Digest;
 use mastichaven_core::ids::HostName;
 use mastichaven_core::ids::RegionName;
@@ -190,12 +190,12 @@
     }
 
     /// How much of the newest version is here; `None` before its digests are.
-    pub fn progress(&self) -> Option<Progress> {
+    pub fn progress(&self) -> Option<DownloadProgress> {
         let pulls = self.pulls.borrow();
         let pull = pulls.last()?;
         let chunks = pull.chunks.as_ref()?;
         let elapsed = self.clock.now().since(pull.began);
-        Some(Progress { chunks: chunks.have.len(), missing: chunks.missing(), elapsed })
+        Some(DownloadProgress { chunks: chunks.have.len(), missing: chunks.missing(), elapsed })
     }
 
     /// Whether a newer version waits in memory, and all of it is here.
--- a/node/src/direct/swarm/sources.rs
+++ b/node/src/direct/swarm/sources.rs
@@ -156,7 +156,7 @@
             Err(e) => {
                 slog::info!(self.log, "chunk not received"; "entry" => address.to_string(),
                     "version" => target.version, "error" => e.as_str());
-                self.caches.borrow_mut().failed(route.entry, self.clock.now());
+                self.caches.borrow_mut().record_failure(route.entry, self.clock.now());
                 self.follow_caches();
                 end_of(Err(e))
             }
--- a/node/src/direct/updates.rs
+++ b/node/src/direct/updates.rs
@@ -31,13 +31,13 @@
                 self.apply_endpoints(as_of, listed, &lapsed);
             }
             Update::EndpointPut(listed) => self.apply_endpoint(*listed),
-            Update::EndpointGone { id, last } => self.endpoint_gone(&id, last),
-            Update::EndpointsSeen(as_of) => self.roster.borrow_mut().seen(as_of),
-            Update::Evacuated { as_of, zones } => self.apply_evacuated(as_of, &zones),
-            Update::Weights { model, version, ago } => {
+            Update::EndpointRemoved { id, last_revision } => self.endpoint_gone(&id, last_revision),
+            Update::EndpointsProgress(as_of) => self.roster.borrow_mut().seen(as_of),
+            Update::Evacuations { as_of, zones } => self.apply_evacuated(as_of, &zones),
+            Update::Weights { model, version, age } => {
                 let now = self.now();
-                let named_at = ago.map(|ago| time_before(now, ago).unwrap_or_default());
-                self.apply_weights(&model, version, named_at);
+                let announced_at = age.map(|age| time_before(now, age).unwrap_or_default());
+                self.apply_weights(&model, version, announced_at);
             }
         }
     }
@@ -68,18 +68,18 @@
         let mut all = Vec::new();
         let is_newer = |catalog: &&Rc<Catalog>| Some(catalog.version()) != config;
         if let Some(catalog) = self.catalog.borrow().as_ref().filter(is_newer) {
-            all.push(Update::Config(Box::new(catalog.parts())));
+            all.push(Update::Config(Box::new(catalog.to_parts())));
         }
         let roster = self.roster.borrow();
         let zones = roster.evacuated().cloned().collect();
-        all.push(Update::Evacuated { as_of: roster.evacuated_as_of(), zones });
+        all.push(Update::Evacuations { as_of: roster.evacuated_as_of(), zones });
         all.push(self.listed_endpoints(&roster, now));
         for (model, versions) in self.versions.borrow().iter() {
             let named = versions.ages(now);
-            all.extend(named.map(|(version, ago)| Update::Weights {
+            all.extend(named.map(|(version, age)| Update::Weights {
                 model: model.clone(),
                 version,
-                ago,
+                age,
             }));
         }
         all
@@ -217,28 +217,30 @@
         self.confirmed.borrow().contains_key(&Kind::Weights)
     }
 
-    /// `named_at` is `None` where nobody knows how long the version has been named.
-    fn apply_weights(&self, model: &SmolStr, version: u64, named_at: Option<Time>) {
+    /// `announced_at` is `None` where nobody knows how long the version has been named.
+    fn apply_weights(&self, model: &SmolStr, version: u64, announced_at: Option<Time>) {
         let mut known = self.versions.borrow_mut();
-        let is_new = match (known.get_mut(model), named_at) {
+        let is_new = match (known.get_mut(model), announced_at) {
             (Some(versions), Some(at))
                 if self.is_following.get() && versions.newest() >= version =>
             {
-                versions.date(version, at);
-                versions.named_after(version, at);
+                versions.backfill_announced_at(version, at);
+                versions.record_announced_after(version, at);
                 false
             }
-            (Some(versions), _) => versions.name(version, named_at.unwrap_or(self.now())),
+            (Some(versions), _) => {
+                versions.record_announcement(version, announced_at.unwrap_or(self.now()))
+            }
             // None was named when the store was read before, so any older one may answer. A parent that
             // has just started does not know that.
-            (None, _) if named_at.is_some() || self.has_read_weights() => {
-                let mut versions = Versions::first(0);
-                versions.name(version, named_at.unwrap_or(self.now()));
+            (None, _) if announced_at.is_some() || self.has_read_weights() => {
+                let mut versions = Versions::new(0);
+                versions.record_announcement(version, announced_at.unwrap_or(self.now()));
                 known.insert(model.clone(), versions);
                 true
             }
             (None, _) => {
-                known.insert(model.clone(), Versions::first(version));
+                known.insert(model.clone(), Versions::new(version));
                 true
             }
         };
@@ -246,7 +248,7 @@
         if !is_new {
             return;
         }
-        let age = named_at.map_or(-1, |at| self.now().since(at).as_millis() as i64);
+        let age = announced_at.map_or(-1, |at| self.now().since(at).as_millis() as i64);
         slog::info!(self.log, "weights named"; "model" => model.as_str(), "version" => version,
             "age_ms" => age, "from" => self.source());
         self.named.notify_one();
--- a/node/src/direct/watch.rs
+++ b/node/src/direct/watch.rs
@@ -192,7 +192,7 @@
     fn longest_wait(&self) -> Duration {
         match self.kind {
             Kind::Config => CONFIG_WAIT,
-            Kind::Endpoints => self.state.age_limits().endpoints_wait(),
+            Kind::Endpoints => self.state.age_limits().endpoints_watch_timeout(),
             Kind::Evacuations => EVACUATIONS_WAIT,
             Kind::Weights => WEIGHTS_WAIT,
         }
--- a/node/src/direct/watch/taking.rs
+++ b/node/src/direct/watch/taking.rs
@@ -57,7 +57,7 @@
         let is_any = !changes.is_empty();
         self.take_each(changes, as_of);
         if is_any && self.kind == Kind::Endpoints {
-            self.state.apply(Update::EndpointsSeen(as_of));
+            self.state.apply(Update::EndpointsProgress(as_of));
         }
         self.state.note_list();
     }
@@ -107,7 +107,7 @@
             slog::warn!(self.state.log, "configuration cannot be read"; "name" => object.name.as_str());
             return false;
         };
-        self.state.apply(Update::Config(Box::new(catalog.parts())));
+        self.state.apply(Update::Config(Box::new(catalog.to_parts())));
         true
     }
 
@@ -146,7 +146,7 @@
             Some(listed) => self.state.apply(Update::EndpointPut(Box::new(listed))),
             None => {
                 let id = object.name.clone();
-                self.state.apply(Update::EndpointGone { id, last: object.revision });
+                self.state.apply(Update::EndpointRemoved { id, last_revision: object.revision });
             }
         }
     }
@@ -161,7 +161,7 @@
         if self.is_troubled(now) {
             self.keep_lapsed(id, last, now);
         } else {
-            self.state.apply(Update::EndpointGone { id, last });
+            self.state.apply(Update::EndpointRemoved { id, last_revision: last });
         }
     }
 
@@ -177,14 +177,14 @@
             let is_still = state.lapsed.borrow().get(&id) == Some(&now);
             if is_still {
                 state.lapsed.borrow_mut().remove(&id);
-                state.apply(Update::EndpointGone { id, last });
+                state.apply(Update::EndpointRemoved { id, last_revision: last });
             }
         });
     }
 
     fn set_evacuated(&self, as_of: Revision) {
         let zones = self.evacuated.iter().map(ZoneName::new).collect();
-        self.state.apply(Update::Evacuated { as_of, zones });
+        self.state.apply(Update::Evacuations { as_of, zones });
     }
 
     /// `ago` is `None` where nobody knows how long the version has been named.
@@ -194,6 +194,6 @@
             return;
         };
         let weights::Newest { model, version } = newest;
-        self.state.apply(Update::Weights { model, version, ago });
+        self.state.apply(Update::Weights { model, version, age: ago });
     }
 }
--- a/node/tests/direct/chunk_cache.rs
+++ b/node/tests/direct/chunk_cache.rs
@@ -108,8 +108,12 @@
         model: None,
         origin: Some(origin),
     };
-    let limits =
-        CallerLimits { head_len: 1, body_len: 1, head_timeout: WITHIN, idle_timeout: WITHIN };
+    let limits = CallerLimits {
+        max_head_len: 1,
+        max_body_len: 1,
+        head_timeout: WITHIN,
+        idle_timeout: WITHIN,
+    };
     Update::Config(Box::new(CatalogParts {
         version: 1,
         routes: Vec::new(),
--- a/node/tests/direct/parents.rs
+++ b/node/tests/direct/parents.rs
@@ -7,7 +7,7 @@
 use mastichaven_core::direct::replication::Ages;
 use mastichaven_core::direct::replication::Hello;
 use mastichaven_core::direct::replication::Message;
-use mastichaven_core::direct::replication::Named;
+use mastichaven_core::direct::replication::Nomination;
 use mastichaven_node::direct::peers;
 use mastichaven_node::direct::replication;
 use mastichaven_node::direct::state::State;
@@ -43,7 +43,7 @@
     let state: Rc<State> = Rc::new(state_with(port));
     state.is_joining.set(false);
     state.is_following.set(true);
-    state.relay.set(Named::default().note(PARENT, state.now()));
+    state.relay.set(Nomination::default().record(PARENT, state.now()));
     spawn_local(serve_parent(listener, delay));
     spawn_local(replication::follow(state.clone()));
     sleep(delay + Duration::from_millis(200)).await;
--- a/node/tests/direct/updates.rs
+++ b/node/tests/direct/updates.rs
@@ -88,7 +88,7 @@
     for entry in [&parent, &follower] {
         apply_endpoints(entry, 1, &["i-left", "i-stays"]);
     }
-    follower.apply(Update::EndpointGone { id: "i-left".into(), last: Revision(1) });
+    follower.apply(Update::EndpointRemoved { id: "i-left".into(), last_revision: Revision(1) });
     parent.lapsed.borrow_mut().insert("i-left".into(), Time::ZERO);
     apply_snapshot(&parent, &follower);
     assert_eq!(known(&follower), ["i-stays"]);
@@ -131,8 +131,8 @@
 fn snapshot_does_not_return_a_zone_that_an_older_state_shows_in_service() {
     let (parent, follower) = (state(), state());
     let zone = ZoneName::new("zone-a");
-    parent.apply(Update::Evacuated { as_of: Revision(3), zones: Vec::new() });
-    follower.apply(Update::Evacuated { as_of: Revision(5), zones: vec![zone.clone()] });
+    parent.apply(Update::Evacuations { as_of: Revision(3), zones: Vec::new() });
+    follower.apply(Update::Evacuations { as_of: Revision(5), zones: vec![zone.clone()] });
     apply_snapshot(&parent, &follower);
     let evacuated: Vec<ZoneName> = follower.roster.borrow().evacuated().cloned().collect();
     assert_eq!(evacuated, [zone]);
@@ -140,12 +140,12 @@
 
 fn configure(state: &State) {
     let limits = CallerLimits {
-        head_len: 1 << 10,
-        body_len: 1 << 10,
+        max_head_len: 1 << 10,
+        max_body_len: 1 << 10,
         head_timeout: Duration::from_secs(1),
         idle_timeout: Duration::from_secs(1),
     };
-    let parts = Catalog::new(1, Vec::new(), Vec::new(), Vec::new(), limits).parts();
+    let parts = Catalog::new(1, Vec::new(), Vec::new(), Vec::new(), limits).to_parts();
     state.apply(Update::Config(Box::new(parts)));
 }
 
@@ -167,7 +167,7 @@
 #[test]
 fn apply_report_dates_a_version_whose_report_was_long_under_way() {
     let state = state();
-    state.apply(Update::Weights { model: "m".into(), version: 1, ago: None });
+    state.apply(Update::Weights { model: "m".into(), version: 1, age: None });
     let named = NamedVersion { model: "m".into(), version: 2, known_for_ms: 200 };
     let msg = ReportMessage {
         port: 9,
@@ -179,8 +179,8 @@
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     state.apply_report(&msg, address, Time::from_millis(10_000));
-    let named_at = state.versions.borrow()["m"].named_at(2);
-    assert_eq!(named_at, Some(Time::from_millis(8_400)));
+    let announced_at = state.versions.borrow()["m"].announced_at(2);
+    assert_eq!(announced_at, Some(Time::from_millis(8_400)));
 }
 
 // A parent that started during an outage of the store cannot date a version; its followers barred the older
@@ -190,7 +190,7 @@
     let state = state();
     let read_before = Ages { weights: Some(Duration::ZERO), ..Ages::default() };
     state.confirm(state.now(), &read_before);
-    state.apply(Update::Weights { model: "m".into(), version: 3, ago: None });
+    state.apply(Update::Weights { model: "m".into(), version: 3, age: None });
     assert_eq!(state.oldest_weights("m", state.now()), 0);
 }
 
@@ -198,6 +198,6 @@
 #[test]
 fn apply_takes_a_version_without_date_as_long_named_after_a_start() {
     let state = state();
-    state.apply(Update::Weights { model: "m".into(), version: 3, ago: None });
+    state.apply(Update::Weights { model: "m".into(), version: 3, age: None });
     assert_eq!(state.oldest_weights("m", state.now()), 3);
 }
