--- a/core/src/placement.rs
+++ b/core/src/placement.rs
@@ -115,10 +115,10 @@
     usable: &[&'a EngineHost],
 ) -> Vec<&'a EngineHost> {
     let pinned = |engine: &EngineHost| goal.placement.pin.contains(&engine.host);
-    let was =
+    let in_old_plan =
         |engine: &EngineHost| old.is_some_and(|plan| plan.version_for(&engine.host).is_some());
     let mut chosen: Vec<&EngineHost> =
-        usable.iter().copied().filter(|engine| was(engine) || pinned(engine)).collect();
+        usable.iter().copied().filter(|engine| in_old_plan(engine) || pinned(engine)).collect();
     let wanted = goal.replicas.max(chosen.iter().filter(|engine| pinned(engine)).count());
     while chosen.len() < wanted {
         let Some(engine) = best_spare(goal, usable, &chosen) else {
@@ -210,11 +210,11 @@
     let mut replicas: Vec<Replica> = chosen
         .iter()
         .map(|engine| {
-            let was = old.and_then(|plan| plan.version_for(&engine.host));
+            let old_version = old.and_then(|plan| plan.version_for(&engine.host));
             // A host that is new to the plan may still answer from the serving version of an
             // earlier plan. If the other hosts died, it can be the only one that does.
-            let is_spare = was.is_none() && engine.ready != Some(serving);
-            let switched = was == Some(target) || is_spare || engine.ready == Some(target);
+            let is_spare = old_version.is_none() && engine.ready != Some(serving);
+            let switched = old_version == Some(target) || is_spare || engine.ready == Some(target);
             Replica { host: engine.host.clone(), version: if switched { target } else { serving } }
         })
         .collect();
--- a/core/src/swarm/schedule.rs
+++ b/core/src/swarm/schedule.rs
@@ -61,7 +61,7 @@
 const OWNER_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 impl Swarm {
-    fn launch(
+    fn start_request(
         &mut self,
         destination: Destination,
         version: Digest,
@@ -97,7 +97,7 @@
         } else {
             self.strategy
         };
-        let skip = self.skip(download.progress_at, now);
+        let skip = self.stall_periods(download.progress_at, now);
         let live = |id: PeerId| self.peers.may_own(id);
         let source = self.topology.source(strategy, key_of(version), &live, skip);
         let (destination, timeout) = match source {
@@ -106,10 +106,16 @@
             Source::Origin | Source::Neighbours => return,
         };
         self.downloads[n].manifest_flights += 1;
-        requests.push(self.launch(destination, version, RequestKind::Manifest, timeout, now));
+        requests.push(self.start_request(
+            destination,
+            version,
+            RequestKind::Manifest,
+            timeout,
+            now,
+        ));
     }
 
-    fn skip(&self, progress_at: Time, now: Time) -> usize {
+    fn stall_periods(&self, progress_at: Time, now: Time) -> usize {
         (now.since(progress_at).as_micros() / STALL_PERIOD.as_micros()) as usize
     }
 
@@ -121,7 +127,7 @@
     /// version arrived only after the time by which it had to be in use. So the next host in the
     /// order also pulls an overdue chunk that no neighbour sends.
     pub(super) fn assign_sources(&mut self, n: usize, now: Time) {
-        let skip = self.skip(self.downloads[n].progress_at, now);
+        let skip = self.stall_periods(self.downloads[n].progress_at, now);
         let overdue_periods = self.downloads[n].overdue_periods(now);
         let at = (self.peers.epoch(), skip, overdue_periods);
         if overdue_periods == 0 && self.downloads[n].assigned_for == Some(at) {
@@ -191,10 +197,10 @@
         owned.retain(|index| !self.downloads[n].have.get(*index as usize));
         for index in &owned {
             let chunk = &self.downloads[n].chunks[*index as usize];
-            let just_failed =
+            let recently_requested =
                 chunk.owner_requested_at.is_some_and(|at| !now.passed(at, OWNER_RETRY_DELAY));
             let max_flights = if chunk.is_overdue { MAX_PARALLEL_REQUESTS } else { 1 };
-            if chunk.flights >= max_flights || just_failed || self.is_cached(chunk) {
+            if chunk.flights >= max_flights || recently_requested || self.is_cached(chunk) {
                 continue;
             }
             let destination = match self.next_destination(n, *index as usize, now) {
@@ -277,7 +283,7 @@
         let kind =
             RequestKind::Chunk { digest: chunk.digest, len: chunk.len, long_poll, allow_repeat };
         let version = self.downloads[n].version;
-        requests.push(self.launch(destination, version, kind, timeout, now));
+        requests.push(self.start_request(destination, version, kind, timeout, now));
     }
 
     /// Fills the pipeline with the rarest chunks. The version with most missing chunks comes first,
@@ -297,7 +303,7 @@
         let mut order: Vec<usize> = (0..self.downloads.len()).collect();
         order.sort_by_key(|n| std::cmp::Reverse(self.downloads[*n].missing));
         while in_flight < limit {
-            let found = order.iter().find_map(|n| Some((*n, self.pick(*n, now, rng)?)));
+            let found = order.iter().find_map(|n| Some((*n, self.choose_request(*n, now, rng)?)));
             let Some((n, (index, peer))) = found else {
                 return;
             };
@@ -328,7 +334,7 @@
     }
 
     /// The next chunk of a version and the neighbour to ask. Demoted peers are a last resort.
-    fn pick<R: Rng>(&self, n: usize, now: Time, rng: &mut R) -> Option<(usize, PeerId)> {
+    fn choose_request<R: Rng>(&self, n: usize, now: Time, rng: &mut R) -> Option<(usize, PeerId)> {
         let download = &self.downloads[n];
         if download.missing == 0 {
             return None;
@@ -345,13 +351,13 @@
         let free_or_late = |chunk: &ChunkState| chunk.flights == 0 || late(chunk);
         // A demoted peer is asked only when no other peer has the chunk, and only at intervals:
         // each bad chunk uses as much of the link as a good one.
-        let rested = |chunk: &ChunkState| {
+        let retry_due = |chunk: &ChunkState| {
             chunk.flights == 0 && now.passed(chunk.requested_at, OWNER_PROBE_INTERVAL)
         };
         let random: u64 = rng.random();
         download
             .choose_chunk(random, &|id| load_if(id, false), &free_or_late)
-            .or_else(|| download.choose_chunk(random, &|id| load_if(id, true), &rested))
+            .or_else(|| download.choose_chunk(random, &|id| load_if(id, true), &retry_due))
     }
 
     pub(super) fn poll_peers(&mut self, n: usize, now: Time, requests: &mut Vec<Request>) {
@@ -375,11 +381,11 @@
                 .copied()
                 .filter(|id| !neighbours.contains(id) && due(id, OWNER_PROBE_INTERVAL)),
         );
-        if let Some(id) = self.retry(now) {
+        if let Some(id) = self.peer_to_retry(now) {
             asked.push(id);
         }
         for id in asked {
-            requests.push(self.launch(
+            requests.push(self.start_request(
                 Destination::Peer(id),
                 version,
                 RequestKind::Have,
@@ -390,7 +396,7 @@
     }
 
     /// A peer that is down and due for a retry.
-    fn retry(&mut self, now: Time) -> Option<PeerId> {
+    fn peer_to_retry(&mut self, now: Time) -> Option<PeerId> {
         let all: Vec<PeerId> = self.topology.other_hosts().collect();
         all.into_iter().find(|id| self.peers.claim_retry(*id, now))
     }
--- a/core/tests/weights/budget.rs
+++ b/core/tests/weights/budget.rs
@@ -11,12 +11,12 @@
         ..ProptestConfig::default()
     })]
 
-    // Two halves of a cut zone, or hundreds of agents with stale lists, each hold themselves
-    // responsible for the same chunks and pay in any order. Above the limit the origin's link would
-    // be full for everybody else.
+    // Both sides of a partitioned zone, or hundreds of agents with stale host lists, own the same
+    // chunks and request grants in any order. Above the limit, the origin's link would have no
+    // capacity left for others.
     #[test]
-    fn grants_stay_under_hard_limit(
-        tries in proptest::collection::vec(0usize..64, 0..600),
+    fn grants_stay_within_limit(
+        attempts in proptest::collection::vec(0usize..64, 0..600),
         copies in 0.0f64..3.0,
     ) {
         const LEN: u64 = 1_000;
@@ -24,14 +24,14 @@
         let mut repeats = Repeats::default();
         let limit = repeats_limit(64 * LEN, copies);
         let mut pulled = 0;
-        let mut wanted = std::collections::BTreeSet::new();
-        for index in tries {
-            // One shard holds every sixteenth chunk; 64 of them make up this version.
+        let mut requested = std::collections::BTreeSet::new();
+        for index in attempts {
+            // One shard holds every sixteenth chunk; this version consists of 64 of them.
             let granted = first.grant(index * 16) || repeats.grant(LEN, limit);
             pulled += u64::from(granted) * LEN;
-            // A chunk's first pull is never refused, whatever was spent on others.
-            assert!(granted || !wanted.insert(index));
-            wanted.insert(index);
+            // The first pull of a chunk is never refused, whatever was granted for others.
+            assert!(granted || !requested.insert(index));
+            requested.insert(index);
         }
         assert!(pulled as f64 <= 64.0 * LEN as f64 * copies.max(1.0));
     }
--- a/core/tests/weights/main.rs
+++ b/core/tests/weights/main.rs
@@ -1,4 +1,4 @@
-//! Weights: swarm, budget, placement, orders, gate.
+//! Tests of weight distribution, origin budget, placement, orders and the gate.
 
 mod budget;
 mod orders;
--- a/core/tests/weights/orders.rs
+++ b/core/tests/weights/orders.rs
@@ -32,10 +32,11 @@
     }
 }
 
-// An engine says yes to an order and does nothing, or its answer is lost after it took effect. If
-// the agent believed the answer, callers would be served from the old weights under the new name.
+// An engine accepts an order and ignores it, or its answer is lost after the order took effect. If
+// the agent trusted the answer, callers would get the old weights under the name of the new
+// version.
 #[test]
-fn confirm_reads_back_whatever_engine_answered() {
+fn confirm_compares_reported_version() {
     let ordered = || {
         let wanted = Wanted::new(digest(2), 7, Incarnation(1));
         let drained = wanted.verify(true).unwrap().drain(true, 0).unwrap();
@@ -48,10 +49,10 @@
     assert_eq!(ordered().confirm(None), Err(Code::OrderIgnored));
 }
 
-// The plan moves on while chunks are missing or requests still run. An engine reloaded then would
-// answer from partial weights, or change weights in the middle of a caller's answer.
+// The plan changes while chunks are missing or requests run. An engine that reloads then would
+// answer from partial weights or change weights during an answer.
 #[test]
-fn order_needs_whole_weights_and_idle_engine() {
+fn drain_requires_complete_weights_and_idle_engine() {
     let wanted = Wanted::new(digest(2), 7, Incarnation(1));
     assert!(wanted.verify(false).is_err());
     let verified = wanted.verify(true).unwrap();
@@ -60,8 +61,8 @@
     assert!(verified.drain(true, 0).is_ok());
 }
 
-// During a rollout the replica that should have stayed dies just before another one switches. If
-// that one went all the same, callers would find no replica of the serving version.
+// During a rollout, the replica that keeps the serving version dies just before another one
+// switches. If that one switched, callers would find no replica of the serving version.
 #[test]
 fn may_release_keeps_last_ready_replica() {
     let plan = plan(1, &[("a", 2), ("b", 2), ("c", 1)]);
@@ -69,17 +70,17 @@
         may_release(Some(&plan), &"a".into(), digest(1), |host| ready.contains(&host.as_str()))
     };
     assert!(may(&["b", "c"]));
-    assert!(!may(&["b"]), "b is told to go as well and does not count");
+    assert!(!may(&["b"]), "b also switches and does not count");
     assert!(!may(&[]));
     let switched = Plan { serving: digest(2), ..plan.clone() };
     assert!(may_release(Some(&switched), &"a".into(), digest(1), |_| false));
-    assert!(!may_release(None, &"a".into(), digest(1), |_| true), "without a plan nothing goes");
+    assert!(!may_release(None, &"a".into(), digest(1), |_| true), "no release without a plan");
 }
 
-// An engine cannot load a version. Without a growing wait it would drain and fail again and again
-// instead of serving what it has; another version must not wait for that.
+// An engine cannot load a version. Without a growing delay it would drain and fail repeatedly
+// instead of serving what it has loaded. Another version must not be delayed by that.
 #[test]
-fn backoff_grows_and_forgets_other_versions() {
+fn backoff_grows_per_version() {
     let mut backoff = Backoff::default();
     let mut now = Time::from_millis(1_000);
     let mut waits = Vec::new();
@@ -95,10 +96,10 @@
     assert!(waits.is_sorted() && waits[0] == 500 && waits[8] == 60_000, "{waits:?}");
 }
 
-// The engine restarts, or is switched by somebody else, between the gate's check and its answer. A
-// caller would read an answer from weights that were not asked for, whole and wrong.
+// The engine restarts or is switched between the check of the gate and its answer. The caller would
+// get a complete answer from other weights than requested.
 #[test]
-fn gate_checks_answer_after_restart_and_switch() {
+fn gate_rejects_answer_after_restart_or_switch() {
     let serving = Serving::Model { model: "rota".into(), version: digest(1), start: StartId(1) };
     let service = "rota".into();
     assert_eq!(gate::enter(&serving, &service, Some(digest(2))), Err(Code::WrongVersion));
@@ -109,14 +110,18 @@
         let answer = pass.check(Some(StartId(start)), Some(digest(version)));
         assert_eq!(answer, Err(Code::EndpointLost));
     }
-    assert_eq!(pass.check(None, None), Err(Code::EndpointLost), "an engine that does not say");
+    assert_eq!(
+        pass.check(None, None),
+        Err(Code::EndpointLost),
+        "an engine that reports neither start nor version"
+    );
 }
 
-// Operators change the version. Entries that followed the configuration at once would find no
-// replica of it for minutes; entries that followed the plan blindly would fail when the old
-// version's last replica dies half way.
+// The configured version changes. Entries that followed the configuration at once would find no
+// replica of it for minutes; entries that only followed the plan would fail when the last replica
+// of the old version dies during the rollout.
 #[test]
-fn version_to_answer_is_one_that_is_ready() {
+fn routable_version_is_ready() {
     let plan = plan(1, &[("a", 2), ("b", 1)]);
     let choose = |ready: &'static [u8]| {
         routable_version(Some(&plan), digest(2), move |v| ready.contains(&v.0[0]))
--- a/core/tests/weights/placement.rs
+++ b/core/tests/weights/placement.rs
@@ -83,8 +83,9 @@
     zones
 }
 
-/// Engines do what the plan says, but for hosts in `broken`.
-fn obey(plan: &Plan, engines: &mut [EngineHost], broken: &[&str]) {
+/// Makes engines load what the plan says, except that hosts in `broken` do not load the new
+/// version.
+fn apply_plan(plan: &Plan, engines: &mut [EngineHost], broken: &[&str]) {
     for engine in engines {
         if let Some(version) = plan.version_for(&engine.host)
             && !(version == NEW && broken.contains(&engine.host.as_str()))
@@ -109,13 +110,17 @@
         let host = HostName::new(host);
         assert!(plan.version_for(&host).is_none() && !plan.candidates.contains(&host), "{host}");
     }
-    assert_eq!(fixture.next(Some(&plan), OLD, &engines), Some(plan), "nothing moves without need");
+    assert_eq!(
+        fixture.next(Some(&plan), OLD, &engines),
+        Some(plan),
+        "a plan that satisfies the goal does not change"
+    );
 }
 
-// A zone goes out and comes back. Replicas that move more than they must drag weights over thin
-// links a second time while the burst is on.
+// A zone leaves and returns. A replica that moves without need transfers weights over slow links
+// again, at the time of the highest load.
 #[test]
-fn next_plan_moves_little_when_zone_leaves_and_returns() {
+fn next_plan_moves_few_replicas_when_zone_leaves_and_returns() {
     let fixture = Fixture::new(6);
     let all = engines(&[("lagoa", 6), ("serra", 6), ("litoral", 6)]);
     let first = fixture.next(None, OLD, &all).unwrap();
@@ -128,25 +133,25 @@
     for _ in 0..4 {
         let next = fixture.next(Some(&plan), OLD, &all).unwrap();
         let moved = next.replicas.iter().filter(|r| !plan.replicas.contains(r)).count();
-        assert!(moved <= 1, "one step moves one replica");
+        assert!(moved <= 1, "each step moves at most one replica");
         plan = next;
     }
     assert_eq!(zones_of(&plan, &all).values().min(), Some(&2));
 }
 
-// A version that no engine can load is published. If the plan went on, replica after replica would
-// leave the version that works, until callers found none.
+// A version that no engine can load is published. If the rollout went on, one replica after the
+// other would leave the working version until callers found none.
 #[test]
-fn rollout_of_broken_version_stops_after_one_batch() {
+fn rollout_of_unloadable_version_stops_after_one_batch() {
     let mut fixture = Fixture::new(8);
     let mut engines = engines(&[("lagoa", 4), ("serra", 4)]);
     let names: Vec<String> = engines.iter().map(|engine| engine.host.to_string()).collect();
     let broken: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut plan = fixture.next(None, OLD, &engines).unwrap();
-    obey(&plan, &mut engines, &[]);
+    apply_plan(&plan, &mut engines, &[]);
     for _ in 0..20 {
         plan = fixture.next(Some(&plan), NEW, &engines).unwrap();
-        obey(&plan, &mut engines, &broken);
+        apply_plan(&plan, &mut engines, &broken);
         fixture.failed = plan
             .replicas
             .iter()
@@ -160,31 +165,32 @@
     assert!(back.loading.is_none() && back.replicas.iter().all(|r| r.version == OLD));
 }
 
-// The only replica is to change its version. Taking it away first would be an outage.
+// The only replica changes its version. Switching it first would be an outage.
 #[test]
-fn rollout_of_single_replica_adds_one_first() {
+fn rollout_of_single_replica_adds_second_first() {
     let fixture = Fixture::new(1);
     let mut engines = engines(&[("lagoa", 2)]);
     let first = fixture.next(None, OLD, &engines).unwrap();
-    obey(&first, &mut engines, &[]);
+    apply_plan(&first, &mut engines, &[]);
     let second = fixture.next(Some(&first), NEW, &engines).unwrap();
     assert_eq!((second.serving, second.replicas.len()), (OLD, 2));
-    obey(&second, &mut engines, &[]);
+    apply_plan(&second, &mut engines, &[]);
     let mut plan = second;
     for _ in 0..3 {
         plan = fixture.next(Some(&plan), NEW, &engines).unwrap();
-        obey(&plan, &mut engines, &[]);
+        apply_plan(&plan, &mut engines, &[]);
     }
     assert_eq!((plan.serving, plan.loading, plan.replicas.len()), (NEW, None, 1));
     assert_eq!(plan.replicas[0].version, NEW);
 }
 
-/// Rolls a version out while, at each step, the next of `deaths` (first seat, how many) is dead.
-fn roll_out(replicas: u32, deaths: &[(usize, usize)]) {
+/// Rolls a version out while, at each step, the next of `deaths` (index of the first dead host,
+/// number of dead hosts) is dead.
+fn check_rollout(replicas: u32, deaths: &[(usize, usize)]) {
     let fixture = Fixture::new(replicas);
     let mut engines = engines(&[("lagoa", 5), ("serra", 5), ("litoral", 4)]);
     let mut plan = fixture.next(None, OLD, &engines).unwrap();
-    obey(&plan, &mut engines, &[]);
+    apply_plan(&plan, &mut engines, &[]);
     let mut deaths = deaths.iter();
     let mut done = false;
     for _ in 0..60 {
@@ -197,7 +203,7 @@
             .collect();
         let before = live.iter().filter(|engine| engine.ready == Some(plan.serving)).count();
         let next = fixture.next(Some(&plan), NEW, &live).unwrap();
-        // What is ready and would still be after every order of the plan was carried out.
+        // Hosts that are ready and still would be after all engines followed the plan.
         let after = live
             .iter()
             .filter(|engine| engine.ready == Some(next.serving))
@@ -205,18 +211,18 @@
             .count();
         assert!(before == 0 || after > 0, "{plan:#?} to {next:#?} with {live:#?}");
         plan = next;
-        obey(&plan, &mut engines, &[]);
+        apply_plan(&plan, &mut engines, &[]);
         done = plan.serving == NEW && plan.loading.is_none();
     }
     assert!(done, "{plan:?}");
 }
 
-// The replicas of a small model die one after the other while it is rolled out, and hosts that
-// held it before are all that still answer. Callers find no endpoint if the plan takes those, too.
+// The replicas of a small model die one after the other during a rollout, and only hosts that held
+// it before still answer. Callers find no endpoint if the plan switches those too.
 #[test]
-fn rollout_when_holders_die_between_steps() {
+fn rollout_with_deaths_between_steps() {
     for deaths in [[(11, 3), (3, 1), (8, 3)], [(0, 1), (12, 2), (8, 3)]] {
-        roll_out(3, &deaths);
+        check_rollout(3, &deaths);
     }
 }
 
@@ -225,28 +231,29 @@
         rng_seed: RngSeed::Fixed(7),
         ..ProptestConfig::default()
     })]
-    // Hosts die and come back at any step of a rollout. Whatever the plan says, following it must
-    // not take the last live replica of the serving version.
+    // Hosts die and return at any step of a rollout. Following the plan must never remove the last
+    // live replica of the serving version.
     #[test]
-    fn rollout_keeps_a_ready_replica_at_each_step(
+    fn rollout_keeps_ready_replica_at_each_step(
         replicas in 2u32..12,
         deaths in proptest::collection::vec((0usize..14, 1usize..4), 0..12),
     ) {
-        roll_out(replicas, &deaths);
+        check_rollout(replicas, &deaths);
     }
 }
 
-// The platform is down for long and a host dies. Its zone's candidates must agree, without asking
-// anybody, which one of them steps in: two would waste a host, none would leave the zone short.
+// The platform is down for long and a host dies. The candidates of its zone must agree without
+// communication on the one that takes over: two would waste a host, none would leave the zone
+// short.
 #[test]
-fn stand_in_is_one_live_candidate_a_dead_replica() {
+fn takeover_version_matches_each_dead_replica_with_one_candidate() {
     let fixture = Fixture::new(4);
     let engines = engines(&[("lagoa", 5), ("serra", 5)]);
     let plan = fixture.next(None, OLD, &engines).unwrap();
     let in_lagoa = |host: &HostName| host.as_str().starts_with("lagoa");
     let replica = plan.replicas.iter().find(|r| in_lagoa(&r.host)).unwrap().host.clone();
     let first = plan.candidates.iter().find(|host| in_lagoa(host)).unwrap().clone();
-    let who = |dead: &[HostName]| -> Vec<HostName> {
+    let takeovers = |dead: &[HostName]| -> Vec<HostName> {
         let live = plan.candidates.iter().filter(|host| in_lagoa(host) && !dead.contains(host));
         live.filter(|me| {
             takeover_version(&plan, me, in_lagoa, |host| dead.contains(host)).is_some()
@@ -254,14 +261,14 @@
         .cloned()
         .collect()
     };
-    assert!(who(&[]).is_empty());
-    assert_eq!(who(std::slice::from_ref(&replica)), std::slice::from_ref(&first));
-    let second = who(&[replica, first.clone()]);
+    assert!(takeovers(&[]).is_empty());
+    assert_eq!(takeovers(std::slice::from_ref(&replica)), std::slice::from_ref(&first));
+    let second = takeovers(&[replica, first.clone()]);
     assert!(second.len() == 1 && second[0] != first);
 }
 
 #[test]
-fn scaler_follows_load_with_hysteresis() {
+fn target_replicas_follows_load_with_hysteresis() {
     let placement = placement(4);
     let mut scaler = Autoscaler::default();
     let mut replicas = 4;
@@ -270,15 +277,15 @@
             scaler.target_replicas(replicas, &placement, load, Time::from_millis(seconds * 1_000));
         replicas
     };
-    assert_eq!(at(0, 0.9), 4, "a moment's peak adds nothing");
+    assert_eq!(at(0, 0.9), 4, "a short peak adds no replica");
     assert_eq!(at(3, 0.9), 5);
-    assert_eq!(at(4, 0.5), 5, "between the bounds nothing changes");
+    assert_eq!(at(4, 0.5), 5, "no change between the thresholds");
     for second in 5..60 {
         at(second, 1.0);
     }
-    assert_eq!(at(60, 1.0), 8, "never above the configured bound");
+    assert_eq!(at(60, 1.0), 8, "at most the configured maximum");
     assert_eq!(at(61, 0.1), 8);
-    assert_eq!(at(100, 0.1), 8, "a pause takes nothing away");
+    assert_eq!(at(100, 0.1), 8, "a short pause removes no replica");
     assert_eq!(at(122, 0.1), 7);
     assert_eq!(at(130, 0.9), 7);
 }
--- a/core/tests/weights/swarm.rs
+++ b/core/tests/weights/swarm.rs
@@ -19,40 +19,40 @@
 const CHUNKS: usize = 64;
 const STEP: Duration = Duration::from_millis(50);
 
-/// How a host treats those who ask it.
+/// How a host responds to other hosts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Manner {
+enum PeerBehaviour {
     Honest,
     Corrupt,
-    Liar,
-    Silent,
-    /// Tells what it has, but neither gets nor sends a chunk.
+    FalseMap,
+    Unresponsive,
+    /// Reports its chunks, but neither receives nor sends any.
     Stalled,
 }
 
-/// How caches answer.
+/// How caches respond.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum CacheManner {
+enum CacheBehaviour {
     Ready,
-    /// They wait for the origin.
+    /// Wait for the origin.
     Waiting,
     Down,
 }
 
 struct Host {
-    place: PeerLocation,
+    location: PeerLocation,
     swarm: Swarm,
     chunks: BTreeSet<Digest>,
-    manner: Manner,
+    behaviour: PeerBehaviour,
 }
 
-/// Hosts that answer each other at once; only what they decide is under test.
+/// Hosts that respond to each other without delay, so that only their decisions are tested.
 struct Hosts {
     manifest: Manifest,
     all: Vec<Host>,
-    cut: BTreeSet<usize>,
-    origin: BTreeMap<Digest, u32>,
-    caches: CacheManner,
+    partitioned: BTreeSet<usize>,
+    pulls_by_chunk: BTreeMap<Digest, u32>,
+    caches: CacheBehaviour,
     from_caches: BTreeSet<Digest>,
     now: Time,
     rng: ChaCha8Rng,
@@ -62,27 +62,32 @@
     fn new(zones: &[(&str, &str, usize)]) -> Hosts {
         let weights: Vec<u8> = (0..CHUNKS * 8).map(|n| (n / 8) as u8).collect();
         let manifest = Manifest::from_weights(&weights, 8);
-        let mut places = Vec::new();
+        let mut locations = Vec::new();
         for (region, zone, count) in zones {
-            places.extend((0..*count).map(|n| PeerLocation {
+            locations.extend((0..*count).map(|n| PeerLocation {
                 host: format!("{zone}-{n}").as_str().into(),
                 zone: (*zone).into(),
                 region: (*region).into(),
             }));
         }
-        let all = places.iter().map(|place| {
-            let mut swarm = Swarm::new(place, Strategy::Swarm);
-            swarm.set_peers(&places, None);
+        let all = locations.iter().map(|location| {
+            let mut swarm = Swarm::new(location, Strategy::Swarm);
+            swarm.set_peers(&locations, None);
             swarm.set_wanted_versions(&[manifest.digest()], Time::ZERO);
             swarm.set_manifest(&manifest, |_| false, Time::ZERO);
-            Host { place: place.clone(), swarm, chunks: BTreeSet::new(), manner: Manner::Honest }
+            Host {
+                location: location.clone(),
+                swarm,
+                chunks: BTreeSet::new(),
+                behaviour: PeerBehaviour::Honest,
+            }
         });
         Hosts {
             all: all.collect(),
             manifest,
-            cut: BTreeSet::new(),
-            origin: BTreeMap::new(),
-            caches: CacheManner::Ready,
+            partitioned: BTreeSet::new(),
+            pulls_by_chunk: BTreeMap::new(),
+            caches: CacheBehaviour::Ready,
             from_caches: BTreeSet::new(),
             now: Time::ZERO,
             rng: ChaCha8Rng::seed_from_u64(1),
@@ -95,24 +100,24 @@
             for n in 0..self.all.len() {
                 let requests = self.all[n].swarm.step(self.now, &mut self.rng);
                 for request in requests {
-                    self.answer(n, &request);
+                    self.respond(n, &request);
                 }
             }
         }
     }
 
-    fn answer(&mut self, n: usize, request: &Request) {
+    fn respond(&mut self, n: usize, request: &Request) {
         let is_chunk = matches!(request.kind, RequestKind::Chunk { .. });
-        if is_chunk && (self.is_stalled(n) || self.asks_stalled(n, request)) {
+        if is_chunk && (self.is_stalled(n) || self.targets_stalled(n, request)) {
             return;
         }
         let end = match request.destination {
-            Destination::Origin => self.ask_origin(n, request),
-            Destination::Cache => self.ask_cache(request),
+            Destination::Origin => self.respond_as_origin(n, request),
+            Destination::Cache => self.respond_as_cache(request),
             Destination::Peer(id) => {
                 let host = self.all[n].swarm.location(id).host.clone();
-                let peer = self.all.iter().position(|h| h.place.host == host).unwrap();
-                self.ask_peer(n, peer, request)
+                let peer = self.all.iter().position(|h| h.location.host == host).unwrap();
+                self.respond_as_peer(n, peer, request)
             }
         };
         if let (RequestOutcome::Stored, RequestKind::Chunk { digest, .. }) = (&end, request.kind) {
@@ -122,46 +127,48 @@
     }
 
     fn is_stalled(&self, n: usize) -> bool {
-        self.all[n].manner == Manner::Stalled
+        self.all[n].behaviour == PeerBehaviour::Stalled
     }
 
-    fn asks_stalled(&self, n: usize, request: &Request) -> bool {
+    fn targets_stalled(&self, n: usize, request: &Request) -> bool {
         let Destination::Peer(id) = request.destination else {
             return false;
         };
         let host = &self.all[n].swarm.location(id).host;
-        self.all.iter().any(|h| h.place.host == *host && h.manner == Manner::Stalled)
+        self.all.iter().any(|h| h.location.host == *host && h.behaviour == PeerBehaviour::Stalled)
     }
 
-    fn ask_origin(&mut self, n: usize, request: &Request) -> RequestOutcome {
+    fn respond_as_origin(&mut self, n: usize, request: &Request) -> RequestOutcome {
         let RequestKind::Chunk { digest, allow_repeat, .. } = request.kind else {
             return RequestOutcome::Manifest(self.manifest.clone());
         };
-        if self.cut.contains(&n) {
+        if self.partitioned.contains(&n) {
             return RequestOutcome::Deferred;
         }
-        if !allow_repeat && self.origin.contains_key(&digest) {
+        if !allow_repeat && self.pulls_by_chunk.contains_key(&digest) {
             return RequestOutcome::AlreadyPulled;
         }
-        *self.origin.entry(digest).or_default() += 1;
+        *self.pulls_by_chunk.entry(digest).or_default() += 1;
         RequestOutcome::Stored
     }
 
-    fn ask_cache(&mut self, request: &Request) -> RequestOutcome {
+    fn respond_as_cache(&mut self, request: &Request) -> RequestOutcome {
         let RequestKind::Chunk { digest, .. } = request.kind else { unreachable!() };
         match self.caches {
-            CacheManner::Ready => {
+            CacheBehaviour::Ready => {
                 self.from_caches.insert(digest);
                 RequestOutcome::Stored
             }
-            CacheManner::Waiting => RequestOutcome::Pending,
-            CacheManner::Down => RequestOutcome::Unreachable,
+            CacheBehaviour::Waiting => RequestOutcome::Pending,
+            CacheBehaviour::Down => RequestOutcome::Unreachable,
         }
     }
 
-    fn ask_peer(&mut self, n: usize, peer: usize, request: &Request) -> RequestOutcome {
-        let manner = self.all[peer].manner;
-        if manner == Manner::Silent || self.cut.contains(&n) != self.cut.contains(&peer) {
+    fn respond_as_peer(&mut self, n: usize, peer: usize, request: &Request) -> RequestOutcome {
+        let behaviour = self.all[peer].behaviour;
+        if behaviour == PeerBehaviour::Unresponsive
+            || self.partitioned.contains(&n) != self.partitioned.contains(&peer)
+        {
             return RequestOutcome::TimedOut;
         }
         match request.kind {
@@ -169,7 +176,9 @@
             RequestKind::Have => {
                 let mut map = Bitmap::default();
                 for (index, chunk) in self.manifest.chunks.iter().enumerate() {
-                    if manner == Manner::Liar || self.all[peer].chunks.contains(&chunk.digest) {
+                    if behaviour == PeerBehaviour::FalseMap
+                        || self.all[peer].chunks.contains(&chunk.digest)
+                    {
                         map.set(index);
                     }
                 }
@@ -177,20 +186,22 @@
                 self.all[n].swarm.record_availability(id, request.version, map, 0, self.now);
                 RequestOutcome::MapReceived
             }
-            RequestKind::Chunk { digest, .. } => match manner {
-                Manner::Corrupt => RequestOutcome::Corrupt,
-                Manner::Honest if self.all[peer].chunks.contains(&digest) => RequestOutcome::Stored,
+            RequestKind::Chunk { digest, .. } => match behaviour {
+                PeerBehaviour::Corrupt => RequestOutcome::Corrupt,
+                PeerBehaviour::Honest if self.all[peer].chunks.contains(&digest) => {
+                    RequestOutcome::Stored
+                }
                 _ => RequestOutcome::Absent,
             },
         }
     }
 
-    fn complete(&self) -> usize {
+    fn complete_hosts(&self) -> usize {
         self.all.iter().filter(|host| host.chunks.len() == CHUNKS).count()
     }
 
     fn origin_pulls(&self) -> u32 {
-        self.origin.values().sum()
+        self.pulls_by_chunk.values().sum()
     }
 }
 
@@ -198,84 +209,89 @@
     [("sul", "lagoa", 8), ("sul", "serra", 8), ("costa", "litoral", 8)];
 
 #[test]
-fn swarm_takes_each_chunk_once_ask_origin() {
+fn step_pulls_each_chunk_from_origin_once() {
     let mut hosts = Hosts::new(&ZONES);
     hosts.run(200);
-    assert_eq!((hosts.complete(), hosts.origin_pulls()), (24, CHUNKS as u32));
+    assert_eq!((hosts.complete_hosts(), hosts.origin_pulls()), (24, CHUNKS as u32));
 }
 
-// A burst adds replicas in a zone that had none. The chunks that fall to them are owned by nobody
-// else there; were they pulled again, each such burst would cost the origin a part of a copy.
+// A burst adds replicas in a zone that had none. They own chunks that nobody else there has; if
+// they pulled these again, each burst would cost the origin a part of a copy.
 #[test]
-fn late_zone_takes_nothing_from_origin() {
+fn step_in_late_zone_pulls_nothing_from_origin() {
     let mut hosts = Hosts::new(&ZONES);
     let late: Vec<usize> = (16..24).collect();
-    hosts.cut = late.iter().copied().collect();
+    hosts.partitioned = late.iter().copied().collect();
     hosts.run(400);
     let before = hosts.origin_pulls();
-    hosts.cut.clear();
-    let places: Vec<PeerLocation> = hosts.all.iter().map(|host| host.place.clone()).collect();
+    hosts.partitioned.clear();
+    let locations: Vec<PeerLocation> = hosts.all.iter().map(|host| host.location.clone()).collect();
     for n in late {
         let host = &mut hosts.all[n];
-        host.swarm = Swarm::new(&host.place, Strategy::Swarm);
-        host.swarm.set_peers(&places, None);
+        host.swarm = Swarm::new(&host.location, Strategy::Swarm);
+        host.swarm.set_peers(&locations, None);
         host.swarm.set_wanted_versions(&[hosts.manifest.digest()], hosts.now);
         host.swarm.set_manifest(&hosts.manifest, |_| false, hosts.now);
     }
     hosts.run(400);
-    assert_eq!((hosts.complete(), hosts.origin_pulls()), (24, before));
+    assert_eq!((hosts.complete_hosts(), hosts.origin_pulls()), (24, before));
 }
 
-// One host in each zone sends damaged chunks, says that it has what it has not, or never answers.
-// Hosts that went on trusting it would never complete, and the replica would be missing in a burst.
+// One host per zone sends corrupt chunks, offers chunks that it lacks, or never responds. If the
+// others kept trusting it, they would never complete and the replica would be missing in a burst.
 #[test]
-fn swarm_completes_beside_bad_peers() {
-    for manner in [Manner::Corrupt, Manner::Liar, Manner::Silent] {
+fn step_completes_with_faulty_peers() {
+    for behaviour in [PeerBehaviour::Corrupt, PeerBehaviour::FalseMap, PeerBehaviour::Unresponsive]
+    {
         let mut hosts = Hosts::new(&ZONES);
         for bad in [3, 11, 19] {
-            hosts.all[bad].manner = manner;
+            hosts.all[bad].behaviour = behaviour;
         }
         hosts.run(1_200);
-        let good = hosts.all.iter().filter(|host| host.manner == Manner::Honest);
-        assert!(good.clone().all(|host| host.chunks.len() == CHUNKS), "{manner:?}");
-        assert!(hosts.origin_pulls() <= 2 * CHUNKS as u32, "{manner:?}: {}", hosts.origin_pulls());
+        let good = hosts.all.iter().filter(|host| host.behaviour == PeerBehaviour::Honest);
+        assert!(good.clone().all(|host| host.chunks.len() == CHUNKS), "{behaviour:?}");
+        assert!(
+            hosts.origin_pulls() <= 2 * CHUNKS as u32,
+            "{behaviour:?}: {}",
+            hosts.origin_pulls()
+        );
     }
 }
 
-// The link of one host in each zone is squeezed to nearly nothing while a version spreads. It lives and
-// answers, so nobody takes its place, and its chunks hold up every other host: endpoints get the
-// version after the time at which callers are refused for want of it.
+// The link of one host per zone slows down to almost nothing during a distribution. The host is
+// live, so no other replaces it, and its chunks delay every other host until callers are refused
+// for lack of the version.
 #[test]
-fn swarm_completes_beside_stalled_owners() {
+fn step_completes_with_stalled_owners() {
     let mut hosts = Hosts::new(&ZONES);
     for slow in [3, 11, 19] {
-        hosts.all[slow].manner = Manner::Stalled;
+        hosts.all[slow].behaviour = PeerBehaviour::Stalled;
     }
     hosts.run(70);
-    assert_eq!(hosts.complete(), 21);
+    assert_eq!(hosts.complete_hosts(), 21);
     assert!(hosts.origin_pulls() as f64 <= 1.3 * CHUNKS as f64, "{}", hosts.origin_pulls());
 }
 
-// A zone is cut off in the middle of a push and comes back. Without it the others must go on, and
-// it must catch up afterwards without being served by the origin all over again.
+// A zone is partitioned during a distribution and rejoins. The others must complete without it, and
+// it must catch up without pulling the version from the origin again.
 #[test]
-fn swarm_goes_on_without_cut_zone_and_heals() {
+fn step_completes_during_and_after_zone_partition() {
     let mut hosts = Hosts::new(&ZONES);
     hosts.run(4);
-    hosts.cut = (8..16).collect();
+    hosts.partitioned = (8..16).collect();
     hosts.run(600);
-    let outside = (0..24).filter(|n| !hosts.cut.contains(n));
+    let outside = (0..24).filter(|n| !hosts.partitioned.contains(n));
     assert!(outside.into_iter().all(|n| hosts.all[n].chunks.len() == CHUNKS));
-    hosts.cut.clear();
+    hosts.partitioned.clear();
     hosts.run(600);
-    assert_eq!(hosts.complete(), 24);
+    assert_eq!(hosts.complete_hosts(), 24);
     assert!(hosts.origin_pulls() as f64 <= 1.3 * CHUNKS as f64, "{}", hosts.origin_pulls());
 }
 
-// Operators publish another version while the first is half way. Pulling on at chunks that nobody
-// wants any more would hold up the new ones on the same link.
+// A new version replaces one that is half downloaded. Further requests for the old chunks would
+// delay the new ones on the same link.
 #[test]
-fn want_drops_old_version_at_once() {
+fn set_wanted_versions_drops_old_version() {
     let mut hosts = Hosts::new(&ZONES);
     hosts.run(3);
     let other = Manifest::from_weights(b"other weights altogether", 8);
@@ -290,9 +306,9 @@
     assert_eq!(host.swarm.missing(), 3);
 }
 
-// A peer sends a map for a million chunks to fill this host's memory.
+// A peer sends a bitmap for half a million chunks to exhaust this host's memory.
 #[test]
-fn heard_refuses_maps_longer_than_version() {
+fn record_availability_rejects_overlong_bitmap() {
     let mut hosts = Hosts::new(&ZONES);
     let mut map = Bitmap::default();
     map.set(1 << 19);
@@ -307,37 +323,45 @@
     assert_eq!(host.swarm.degraded_neighbours().count(), 1);
 }
 
-fn with_caches(manner: CacheManner) -> Hosts {
+fn with_caches(behaviour: CacheBehaviour) -> Hosts {
     let mut hosts = Hosts::new(&ZONES);
-    hosts.caches = manner;
+    hosts.caches = behaviour;
     hosts.all.iter_mut().for_each(|host| host.swarm.set_caches(true));
     hosts
 }
 
 #[test]
-fn step_takes_chunks_from_caches() {
-    let mut hosts = with_caches(CacheManner::Ready);
+fn step_requests_chunks_from_caches() {
+    let mut hosts = with_caches(CacheBehaviour::Ready);
     hosts.run(60);
     assert!(hosts.all.iter().all(|host| host.swarm.missing() == 0));
-    assert!(hosts.origin.is_empty(), "{} chunks from the origin", hosts.origin.len());
+    assert!(
+        hosts.pulls_by_chunk.is_empty(),
+        "{} chunks from the origin",
+        hosts.pulls_by_chunk.len()
+    );
     assert!(!hosts.from_caches.is_empty());
 }
 
-// Guards against dozens of hosts at a narrow origin as soon as caches wait for it.
+// Guards against dozens of hosts that pull from a slow origin while the caches wait for it.
 #[test]
-fn step_leaves_the_origin_to_caches_that_wait_for_it() {
-    let mut hosts = with_caches(CacheManner::Waiting);
+fn step_avoids_origin_while_caches_are_pending() {
+    let mut hosts = with_caches(CacheBehaviour::Waiting);
     hosts.run(60);
-    assert!(hosts.origin.is_empty(), "{} chunks from the origin", hosts.origin.len());
-    hosts.caches = CacheManner::Ready;
+    assert!(
+        hosts.pulls_by_chunk.is_empty(),
+        "{} chunks from the origin",
+        hosts.pulls_by_chunk.len()
+    );
+    hosts.caches = CacheBehaviour::Ready;
     hosts.run(60);
     assert!(hosts.all.iter().all(|host| host.swarm.missing() == 0));
 }
 
-// Guards against a version that never comes because no cache brings it.
+// Guards against a version that never arrives because no cache delivers it.
 #[test]
-fn step_falls_back_to_the_swarm_when_caches_fail() {
-    let mut hosts = with_caches(CacheManner::Down);
+fn step_falls_back_to_peers_when_caches_fail() {
+    let mut hosts = with_caches(CacheBehaviour::Down);
     hosts.run(200);
     assert!(hosts.all.iter().all(|host| host.swarm.missing() == 0));
     assert!(hosts.from_caches.is_empty());
@@ -345,17 +369,18 @@
 
 // Guards against a version that leaves the origin once more for each group of hosts that is added.
 #[test]
-fn step_of_a_new_host_takes_from_neighbours_what_they_have_whole() {
+fn step_of_new_host_prefers_complete_neighbours_to_caches() {
     let mut hosts = Hosts::new(&ZONES);
     hosts.run(100);
-    let place = hosts.all[0].place.clone();
-    let places: Vec<PeerLocation> = hosts.all.iter().map(|host| host.place.clone()).collect();
-    let mut swarm = Swarm::new(&place, Strategy::Swarm);
-    swarm.set_peers(&places, None);
+    let location = hosts.all[0].location.clone();
+    let locations: Vec<PeerLocation> = hosts.all.iter().map(|host| host.location.clone()).collect();
+    let mut swarm = Swarm::new(&location, Strategy::Swarm);
+    swarm.set_peers(&locations, None);
     swarm.set_caches(true);
     swarm.set_wanted_versions(&[hosts.manifest.digest()], hosts.now);
     swarm.set_manifest(&hosts.manifest, |_| false, hosts.now);
-    hosts.all[0] = Host { place, swarm, chunks: BTreeSet::new(), manner: Manner::Honest };
+    hosts.all[0] =
+        Host { location, swarm, chunks: BTreeSet::new(), behaviour: PeerBehaviour::Honest };
     hosts.run(60);
     assert_eq!(hosts.all[0].swarm.missing(), 0);
     assert!(hosts.from_caches.is_empty());
