--- a/core/src/placement.rs
+++ b/core/src/placement.rs
@@ -132,8 +132,8 @@
         // One more in a zone that is short of replicas; the loop below removes one from the fullest
         // zone.
         let counts = count_zones(&chosen);
-        let max = counts.values().copied().max().unwrap_or(0);
-        if counts.get(&engine.zone).copied().unwrap_or(0) + ZONE_REBALANCE_SKEW <= max {
+        let highest = counts.values().copied().max().unwrap_or(0);
+        if counts.get(&engine.zone).copied().unwrap_or(0) + ZONE_REBALANCE_SKEW <= highest {
             chosen.push(engine);
         }
     }
@@ -301,19 +301,19 @@
         load: f64,
         now: Time,
     ) -> usize {
-        let min = placement.replicas as usize;
-        let max = placement.max_replicas.map_or(min, |max| (max as usize).max(min));
-        let current = current.clamp(min, max);
+        let lower = placement.replicas as usize;
+        let upper = placement.max_replicas.map_or(lower, |upper| (upper as usize).max(lower));
+        let current = current.clamp(lower, upper);
         let since = |was: Option<Time>, holds: bool| holds.then(|| was.unwrap_or(now));
         self.high_since = since(self.high_since, load >= SCALE_UP_LOAD);
         self.low_since = since(self.low_since, load <= SCALE_DOWN_LOAD);
         if self.high_since.is_some_and(|at| now.passed(at, SCALE_UP_DELAY)) {
             self.high_since = None;
-            return (current + current.div_ceil(BATCH_DIVISOR)).min(max);
+            return (current + current.div_ceil(BATCH_DIVISOR)).min(upper);
         }
         if self.low_since.is_some_and(|at| now.passed(at, SCALE_DOWN_DELAY)) {
             self.low_since = None;
-            return current.saturating_sub(1).max(min);
+            return current.saturating_sub(1).max(lower);
         }
         current
     }
--- a/core/src/swarm/schedule.rs
+++ b/core/src/swarm/schedule.rs
@@ -233,8 +233,8 @@
     /// Where an owned chunk is requested next; `None` while neighbours offer it or may still do.
     ///
     /// A replica that joins late owns chunks that all other hosts already have. So neighbours come
-    /// before the origin, and while the origin's budget refuses a chunk because it was pulled
-    /// before, every second attempt goes to the owner in another zone.
+    /// before the origin, and after the budget refused a chunk that was pulled before, every second
+    /// attempt goes to the owner in another zone.
     fn next_destination(&self, n: usize, index: usize, now: Time) -> Option<Destination> {
         let download = &self.downloads[n];
         let chunk = &download.chunks[index];
