--- a/bench/src/load/entry_cost.rs
+++ b/bench/src/load/entry_cost.rs
@@ -14,9 +14,9 @@
 use mastichaven_core::members::Serving;
 use mastichaven_core::platform::HostRole;
 use mastichaven_core::queue::FairQueue;
-use mastichaven_core::queue::Waiting;
-use mastichaven_core::route::Ended;
-use mastichaven_core::route::Entries;
+use mastichaven_core::queue::QueuedItem;
+use mastichaven_core::route::AttemptResult;
+use mastichaven_core::route::EntrySet;
 use mastichaven_core::route::Pool;
 use mastichaven_core::run::Load;
 use rand::SeedableRng;
@@ -98,7 +98,7 @@
 fn refreshed(members: &[Member], pool: &mut Pool) {
     let agents: Vec<&Member> = members.iter().filter(|m| m.role == HostRole::Agent).collect();
     let me = &members[members.len() - 1].host;
-    pool.refresh(&agents, &Entries::new(members, me, &"lagoa".into()), Time::ZERO);
+    pool.refresh(&agents, &EntrySet::new(members, me, &"lagoa".into()), Time::ZERO);
 }
 
 fn decision_ns(count: usize) -> f64 {
@@ -111,7 +111,7 @@
     let begun = Instant::now();
     for n in 0..DECISIONS {
         let now = Time::from_micros(u64::from(n));
-        let waiting = Waiting {
+        let waiting = QueuedItem {
             item: n,
             customer: "coop".into(),
             work: 64,
@@ -123,8 +123,8 @@
         let Some(host) = pool.pick(prefix, &[], now, &mut rng).map(|e| e.host.clone()) else {
             continue;
         };
-        pool.report(&host, Load { work: 1, limit: 16, requests: 1 }, now);
-        pool.ended(&host, Ended::Answered, 0.3, now);
+        pool.record_load(&host, Load { work: 1, limit: 16, requests: 1 }, now);
+        pool.record_result(&host, AttemptResult::Answered, 0.3, now);
     }
     begun.elapsed().as_nanos() as f64 / f64::from(DECISIONS)
 }
--- a/core/src/attempts.rs
+++ b/core/src/attempts.rs
@@ -84,8 +84,8 @@
     /// Stores the final state of a started attempt. Beyond [`MAX_RESPONSE_BYTES`] the oldest
     /// responses are dropped; their attempts stay in the table as run.
     pub fn finish(&mut self, request: RequestId, state: VoidReply) {
-        if let VoidReply::Ran(Some(answer)) = &state {
-            self.response_bytes += answer.body.len();
+        if let VoidReply::Ran(Some(response)) = &state {
+            self.response_bytes += response.body.len();
             self.with_response.push_back(request);
         }
         self.states.insert(request, state);
@@ -128,9 +128,9 @@
     }
 
     fn drop_response(&mut self, request: RequestId) {
-        if let Some(VoidReply::Ran(answer)) = self.states.get_mut(&request) {
+        if let Some(VoidReply::Ran(response)) = self.states.get_mut(&request) {
             self.response_bytes -=
-                answer.take().map_or(0, |answer: FullResponse| answer.body.len());
+                response.take().map_or(0, |response: FullResponse| response.body.len());
         }
     }
 
--- a/core/src/claim.rs
+++ b/core/src/claim.rs
@@ -284,14 +284,14 @@
     }
 
     /// Records the response of the request, for later submissions with the same key.
-    pub fn finish(&mut self, answer: FullResponse, now: Time) -> Action {
+    pub fn finish(&mut self, response: FullResponse, now: Time) -> Action {
         self.unreachable_deadline = now + UNREACHABLE_TIMEOUT;
-        let state = if answer.body.len() > MAX_STORED_RESPONSE_LEN {
+        let state = if response.body.len() > MAX_STORED_RESPONSE_LEN {
             ClaimState::DoneNotStored
         } else {
-            ClaimState::Done(answer.clone())
+            ClaimState::Done(response.clone())
         };
-        self.write_final(state, Action::Respond(answer))
+        self.write_final(state, Action::Respond(response))
     }
 
     /// Handles the loss of the agent after the request was sent: queries the state of the attempt.
@@ -396,7 +396,7 @@
                 self.phase = Phase::Querying(revision, dispatch.clone());
                 Action::QueryAgent(dispatch)
             }
-            ClaimState::Done(answer) => Action::Respond(answer),
+            ClaimState::Done(response) => Action::Respond(response),
             ClaimState::DoneNotStored => Action::Refuse(Code::AnswerNotKept),
             ClaimState::Unknown => Action::Refuse(Code::KeyUnknown),
             ClaimState::Released if self.is_released_since_first_read() => self.refuse_not_run(),
@@ -420,7 +420,7 @@
                 Action::Refuse(Code::KeyInProgress)
             }
             Some(VoidReply::Voided) => self.write_pending(Expect::At(revision)),
-            Some(VoidReply::Ran(Some(answer))) => self.finish(answer, now),
+            Some(VoidReply::Ran(Some(response))) => self.finish(response, now),
             Some(VoidReply::Ran(None)) if self.response_reads >= MAX_RESPONSE_READS => {
                 self.write_final(ClaimState::DoneNotStored, Action::Refuse(Code::AnswerNotKept))
             }
--- a/core/src/retry.rs
+++ b/core/src/retry.rs
@@ -1,36 +1,36 @@
-//! The retry budget: second attempts are a share of first ones, so that a zone that goes does not
-//! set off a storm of retries on the others.
+//! The retry budget: retries are limited to a share of first attempts, so that a failing zone does
+//! not cause a retry storm on the others.
 
-/// Attempts that may be saved up at most.
-const MAX_SAVED: f64 = 20.0;
+/// Maximum number of retries saved up.
+const MAX_TOKENS: f64 = 20.0;
 
-/// Attempts saved up at the start, so that the first failures of a quiet entry are retried.
-const FIRST_SAVED: f64 = 5.0;
+/// Initial balance, so that the first failures of an entry with little traffic are retried.
+const INITIAL_TOKENS: f64 = 5.0;
 
-/// Further attempts earned by first ones.
+/// Retries earned by first attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    saved: f64,
+    tokens: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { saved: FIRST_SAVED }
+        RetryBudget { tokens: INITIAL_TOKENS }
     }
 }
 
 impl RetryBudget {
-    /// A request makes its first attempt, which earns `share` of a further one.
-    pub fn earn(&mut self, share: f64) {
-        self.saved = (self.saved + share.max(0.0)).min(MAX_SAVED);
+    /// Adds the `share` of a retry that a first attempt earns.
+    pub fn deposit(&mut self, share: f64) {
+        self.tokens = (self.tokens + share.max(0.0)).min(MAX_TOKENS);
     }
 
-    /// Takes one further attempt, if one was earned.
-    pub fn spend(&mut self) -> bool {
-        let has = self.saved >= 1.0;
-        if has {
-            self.saved -= 1.0;
+    /// Takes one retry from the budget; false if there is none.
+    pub fn try_withdraw(&mut self) -> bool {
+        let has_token = self.tokens >= 1.0;
+        if has_token {
+            self.tokens -= 1.0;
         }
-        has
+        has_token
     }
 }
--- a/core/src/sweep.rs
+++ b/core/src/sweep.rs
@@ -1,8 +1,8 @@
-//! Which claims have expired, told without reading them.
+//! Selection of expired claims without reading them.
 //!
-//! The platform numbers all its writes in one order. A mark notes the number at a time; a claim
-//! whose last write is below a mark that is older than claims are kept has expired. Claims are
-//! spread over shards by their digest, and each step lists one shard.
+//! Platform revisions rise with every write to any object. A mark records the revision at a time. A
+//! claim whose revision is below that of a mark older than the retention time has expired. Claims
+//! are sharded by their digest, and each step lists one shard.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,29 +10,29 @@
 use crate::claim;
 use crate::ids::Revision;
 
-/// The object that the entries share the sweep through.
+/// Key of the object that holds the state of the sweep, shared by the entries.
 pub const KEY: &str = "sweep/claims";
 
-/// Seconds between two steps of the whole fleet.
+/// Minimum number of seconds between two steps, over all entries.
 pub const STEP_SECONDS: u64 = 10;
 
-/// Seconds between two marks.
+/// Minimum number of seconds between two marks.
 const MARK_SECONDS: u64 = 900;
 
-/// Marks kept at most.
+/// Maximum number of marks; the oldest are dropped.
 const MAX_MARKS: usize = 1_024;
 
-/// Shards of claims.
+/// Number of shards of claims.
 const SHARDS: u32 = 1 << (4 * claim::SHARD_DIGITS);
 
-/// The platform's number at a time.
+/// The platform revision at a time.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct Mark {
     unix_seconds: u64,
     revision: Revision,
 }
 
-/// How far the sweep is.
+/// State of the sweep, stored on the platform as JSON.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Sweep {
     marks: Vec<Mark>,
@@ -40,35 +40,36 @@
     stepped: u64,
 }
 
-/// What a step deletes.
+/// The claims that a step deletes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Step {
-    /// Prefix of the claims to list.
+    /// Key prefix of the shard to list.
     pub prefix: String,
-    /// Claims last written below this are deleted, each only at its listed revision.
+    /// Claims with a lower revision are deleted, each by a conditional delete at its listed
+    /// revision.
     pub below: Revision,
 }
 
 impl Sweep {
-    /// Whether a step is due. A clock that was set back makes it late, never early.
+    /// Whether a step is due. If the clock was set back, the step is late, never early.
     pub fn is_due(&self, unix_seconds: u64) -> bool {
         unix_seconds >= self.stepped + STEP_SECONDS
     }
 
-    /// Takes the next step. `revision` is a number that the platform has given out by now, and
-    /// claims are kept for `keep_seconds`. `None` while nothing can have expired.
+    /// Returns the next step, or `None` while no claim can have expired. `revision` is one that the
+    /// platform has already assigned; claims are kept for `retention_seconds`.
     pub fn step(
         &mut self,
         unix_seconds: u64,
         revision: Revision,
-        keep_seconds: u64,
+        retention_seconds: u64,
     ) -> Option<Step> {
         self.stepped = unix_seconds;
         let last = self.marks.last().map_or(0, |mark| mark.unix_seconds);
         if unix_seconds >= last + MARK_SECONDS {
             self.marks.push(Mark { unix_seconds, revision });
         }
-        let expired = |mark: &&Mark| mark.unix_seconds + keep_seconds <= unix_seconds;
+        let expired = |mark: &&Mark| mark.unix_seconds + retention_seconds <= unix_seconds;
         let below = self.marks.iter().rev().find(expired)?.revision;
         self.marks.retain(|mark| mark.revision >= below);
         let excess = self.marks.len().saturating_sub(MAX_MARKS);
--- a/core/tests/proof/corpus.rs
+++ b/core/tests/proof/corpus.rs
@@ -1,4 +1,5 @@
-//! Valid messages of every kind, found by decoding, so that a new variant joins by itself.
+//! A corpus of valid messages of every kind, found by decoding, so that new enum variants are
+//! included without a change here.
 
 use std::collections::BTreeSet;
 
@@ -6,33 +7,33 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Kinds of message tried at each level; more than any enum has.
+/// Variant tags tried at each level; more than any enum has variants.
 const MAX_KINDS: u8 = 24;
 
-/// Bytes that follow the tags of a tried message; zeros decode as empty or absent fields.
-const TAIL_LEN: usize = 512;
+/// Number of bytes after the tags of a candidate; zeros decode as empty or absent fields.
+const FILL_LEN: usize = 512;
 
-/// Encoded messages of type `T` without their length, each decodable.
+/// Encodings of valid messages of type `T`, without the length prefix.
 ///
-/// `head_len` bytes stand before the tag of the outer enum.
-pub fn encoded<T: DeserializeOwned + Serialize>(head_len: usize) -> Vec<Vec<u8>> {
-    let mut found = BTreeSet::new();
+/// `header_len` bytes precede the tag of the outer enum.
+pub fn encoded<T: DeserializeOwned + Serialize>(header_len: usize) -> Vec<Vec<u8>> {
+    let mut messages = BTreeSet::new();
     for outer in 0..MAX_KINDS {
         for inner in 0..MAX_KINDS {
             for fill in [0, 1] {
-                let mut bytes = vec![0; head_len];
+                let mut bytes = vec![0; header_len];
                 bytes.extend([outer, inner]);
-                bytes.extend([fill; TAIL_LEN]);
+                bytes.extend([fill; FILL_LEN]);
                 if let Ok(message) = wire::decode::<T>(&bytes) {
-                    found.insert(wire::encode(&message)[wire::LEN_BYTES..].to_vec());
+                    messages.insert(wire::encode(&message)[wire::LEN_BYTES..].to_vec());
                 }
             }
         }
     }
-    found.into_iter().collect()
+    messages.into_iter().collect()
 }
 
-/// The number of different bytes at `tag`, which is the number of kinds that were found.
+/// Number of distinct bytes at index `tag`, which is the number of kinds in the corpus.
 pub fn kinds(messages: &[Vec<u8>], tag: usize) -> usize {
     messages.iter().filter_map(|bytes| bytes.get(tag)).collect::<BTreeSet<_>>().len()
 }
--- a/core/tests/proof/decoders.rs
+++ b/core/tests/proof/decoders.rs
@@ -25,26 +25,27 @@
 
 use crate::corpus;
 
-/// Bytes before the tag of an ask's body: an empty host, incarnation 0, generation 0.
-const ASK_HEAD: usize = 3;
+/// Bytes before the tag of the body of an [`Ask`]: an empty host, incarnation 0 and generation 0.
+const ASK_HEADER_LEN: usize = 3;
 
-/// Bytes before the tag of a reply's body: generation 0.
-const REPLY_HEAD: usize = 1;
+/// Bytes before the tag of the body of a [`Reply`]: generation 0.
+const REPLY_HEADER_LEN: usize = 1;
 
-static ASKS: LazyLock<Vec<Vec<u8>>> = LazyLock::new(|| corpus::encoded::<Ask>(ASK_HEAD));
+static ASKS: LazyLock<Vec<Vec<u8>>> = LazyLock::new(|| corpus::encoded::<Ask>(ASK_HEADER_LEN));
 
-static REPLIES: LazyLock<Vec<Vec<u8>>> = LazyLock::new(|| corpus::encoded::<Reply>(REPLY_HEAD));
+static REPLIES: LazyLock<Vec<Vec<u8>>> =
+    LazyLock::new(|| corpus::encoded::<Reply>(REPLY_HEADER_LEN));
 
-/// The largest number postcard writes, a count that no message can hold.
+/// The largest varint of postcard, a count that no message can hold.
 const HUGE_COUNT: [u8; 10] = [0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01];
 
-fn cases(cases: u32) -> ProptestConfig {
+fn config(cases: u32) -> ProptestConfig {
     let seed = RngSeed::Fixed(0x6d61_7374);
     ProptestConfig { cases, rng_seed: seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
-/// Decoding ends with the message or with the numbered code, and what it gives is no larger than
-/// what came, so that memory is bounded by the bytes of the message.
+/// Asserts that decoding returns a message or [`Code::BadMessage`], and that the message encodes to
+/// no more bytes than the input, so memory is bounded by the length of the input.
 fn assert_bounded<T: DeserializeOwned + Serialize>(bytes: &[u8]) {
     match wire::decode::<T>(bytes) {
         Ok(message) => {
@@ -54,71 +55,72 @@
     }
 }
 
-/// How a valid message is damaged.
+/// A modification of a valid message.
 #[derive(Clone, Copy, Debug)]
 enum Damage {
     Flip(u8),
     Truncate,
-    Count,
+    ReplaceWithHugeCount,
     Append(u8),
 }
 
-fn damage(bytes: &mut Vec<u8>, at: Index, how: Damage) {
+fn damage(bytes: &mut Vec<u8>, at: Index, kind: Damage) {
     let at = at.index(bytes.len());
-    match how {
+    match kind {
         Damage::Flip(mask) => bytes[at] ^= mask,
         Damage::Truncate => bytes.truncate(at),
-        Damage::Count => {
+        Damage::ReplaceWithHugeCount => {
             bytes.splice(at..=at, HUGE_COUNT);
         }
         Damage::Append(byte) => bytes.insert(at, byte),
     }
 }
 
-fn damages() -> impl Strategy<Value = Vec<(Index, Damage)>> {
-    let how = prop_oneof![
+fn damage_sequence() -> impl Strategy<Value = Vec<(Index, Damage)>> {
+    let kind = prop_oneof![
         any::<u8>().prop_map(Damage::Flip),
         Just(Damage::Truncate),
-        Just(Damage::Count),
+        Just(Damage::ReplaceWithHugeCount),
         any::<u8>().prop_map(Damage::Append),
     ];
-    vec((any::<Index>(), how), 1..4)
+    vec((any::<Index>(), kind), 1..4)
 }
 
-/// The corpus covers the kinds of message that exist, or the tests below prove little.
+/// Guards the tests below against a corpus that lacks kinds of messages.
 #[test]
-fn corpus_every_kind() {
-    let (asks, replies) = (corpus::kinds(&ASKS, ASK_HEAD), corpus::kinds(&REPLIES, REPLY_HEAD));
+fn corpus_covers_every_kind() {
+    let (asks, replies) =
+        (corpus::kinds(&ASKS, ASK_HEADER_LEN), corpus::kinds(&REPLIES, REPLY_HEADER_LEN));
     assert!(asks >= 6, "{asks} kinds of ask");
     assert!(replies >= 7, "{replies} kinds of reply");
 }
 
 proptest! {
-    #![proptest_config(cases(4_000))]
+    #![proptest_config(config(4_000))]
 
-    /// A peer with a broken sender, or none of ours at all, sends anything. A process that panics
-    /// on it takes every caller's request on that host with it.
+    /// A faulty or foreign peer sends arbitrary bytes. A panic in the decoder would end the process
+    /// and fail all requests on the host.
     #[test]
-    fn decode_any_bytes(bytes in vec(any::<u8>(), 0..2_000)) {
+    fn decode_arbitrary_bytes(bytes in vec(any::<u8>(), 0..2_000)) {
         assert_bounded::<Ask>(&bytes);
         assert_bounded::<Reply>(&bytes);
     }
 
-    /// Memory or the link changes some bytes of a message that was valid, or a peer lies about a
-    /// count. Whole gigabytes set aside for a count of nothing would end the process.
+    /// Bytes of a valid message are corrupted in memory or transit, or a peer sends a wrong count.
+    /// Gigabytes allocated for a count without data would end the process.
     #[test]
-    fn decode_damaged_messages(which in any::<Index>(), damages in damages()) {
+    fn decode_damaged_messages(which in any::<Index>(), damage_sequence in damage_sequence()) {
         let mut ask = ASKS[which.index(ASKS.len())].clone();
         let mut reply = REPLIES[which.index(REPLIES.len())].clone();
-        for (at, how) in damages {
-            if !ask.is_empty() { damage(&mut ask, at, how); }
-            if !reply.is_empty() { damage(&mut reply, at, how); }
+        for (at, kind) in damage_sequence {
+            if !ask.is_empty() { damage(&mut ask, at, kind); }
+            if !reply.is_empty() { damage(&mut reply, at, kind); }
         }
         assert_bounded::<Ask>(&ask);
         assert_bounded::<Reply>(&reply);
     }
 
-    /// A length in front of a message is believed up to the bound and refused above it.
+    /// A length prefix is accepted up to [`wire::MAX_MESSAGE_LEN`] and refused above it.
     #[test]
     fn scan_len_any_prefix(prefix in any::<[u8; wire::LEN_BYTES]>()) {
         let len = u32::from_be_bytes(prefix) as usize;
@@ -126,11 +128,10 @@
         assert_eq!(wire::scan_len(prefix), expected);
     }
 
-    /// The origin or a peer gives a manifest that has the right digest and is still nonsense,
-    /// because whoever published it made it so. Accepting a chunk of no length or of gigabytes
-    /// would stop every host that is to pull it.
+    /// A published manifest has the right digest but invalid content. A chunk with length 0 or of
+    /// gigabytes would fail every host that pulls it.
     #[test]
-    fn decode_hostile_manifest(
+    fn decode_arbitrary_manifest(
         bytes in vec(any::<u8>(), 0..400),
         chunks in vec((any::<[u8; 32]>(), any::<u32>()), 0..20),
         truncate in any::<Index>(),
@@ -157,10 +158,10 @@
         }
     }
 
-    /// An operator's file holds anything: other encodings, keys of another program, numbers out of
-    /// range. It is read or refused, and never ends the program that reads it.
+    /// A configuration file has arbitrary content: other encodings, unknown keys, numbers out of
+    /// range. It is parsed or refused without a panic.
     #[test]
-    fn config_any_text(text in "\\PC{0,200}", key in "[a-z]{1,12}", number in any::<i64>()) {
+    fn config_from_arbitrary_text(text in "\\PC{0,200}", key in "[a-z]{1,12}", number in any::<i64>()) {
         let _ = toml::from_str::<Config>(&text);
         let _ = toml::from_str::<Config>(&format!("[{key}.a]\n{key} = {number}\n"));
         let _ = toml::from_str::<Config>(&format!("[limits]\n{key} = {number}\n"));
@@ -169,10 +170,10 @@
     }
 }
 
-/// Somebody nests a value ten thousand deep. A reader that recurses without a bound overflows its
-/// stack, which no `Result` catches.
+/// A value is nested ten thousand levels deep. A parser with unbounded recursion would overflow the
+/// stack, which no `Result` reports.
 #[test]
-fn config_deep_nesting() {
+fn config_from_deep_nesting() {
     const DEPTH: usize = 10_000;
     let array = format!("a = {}{}", "[".repeat(DEPTH), "]".repeat(DEPTH));
     let table = format!("a = {}{}", "{ a = ".repeat(DEPTH), "}".repeat(DEPTH));
--- a/core/tests/proof/main.rs
+++ b/core/tests/proof/main.rs
@@ -1,4 +1,4 @@
-//! Hostile bytes against every decoder of the core, from fixed seeds.
+//! Property tests with fixed seeds: invalid input to every decoder, and the end of the claim protocol.
 
 mod claims;
 mod corpus;
--- a/core/tests/requests/claim.rs
+++ b/core/tests/requests/claim.rs
@@ -37,7 +37,7 @@
     Digest::of(b"pen 7, thursday")
 }
 
-fn answer() -> FullResponse {
+fn response() -> FullResponse {
     FullResponse { status: 200, content_type: "text/plain".into(), body: Bytes::from("booked") }
 }
 
@@ -84,7 +84,7 @@
 fn step_key_reused_for_other_body() {
     let (mut run, _) = ClaimMachine::start(body(), dispatch(1, 1), DEADLINE, Time::ZERO);
     let other =
-        Claim { body: Digest::of(b"pen 8"), state: ClaimState::Done(answer()), released: None };
+        Claim { body: Digest::of(b"pen 8"), state: ClaimState::Done(response()), released: None };
     let found = at(&mut run, Event::Found(Some((Revision(5), other))));
     assert_eq!(found, Action::Refuse(Code::KeyReused));
 }
@@ -153,7 +153,7 @@
 }
 
 enum Ending {
-    Answer,
+    Response,
     Refused(bool),
     EntryDied,
 }
@@ -222,13 +222,13 @@
             assert!(!submission.must_not_run, "ran after another submission returned not-run");
             self.runs += 1;
             let table = self.agent(&to).expect("the attempt started on this agent");
-            table.finish(to.request, VoidReply::Ran(Some(answer())));
+            table.finish(to.request, VoidReply::Ran(Some(response())));
         }
         if lost_before || (started && lost_after) {
             return submission.run.contact_lost(self.now);
         }
         if started {
-            return submission.run.finish(answer(), self.now);
+            return submission.run.finish(response(), self.now);
         }
         let next = self.target();
         if self.happens(30) {
@@ -248,7 +248,7 @@
             self.agents[agent] = (incarnation, AttemptTable::with_capacity(8));
         }
         let event = match submission.next.clone() {
-            Action::Respond(_) => return Some(Ending::Answer),
+            Action::Respond(_) => return Some(Ending::Response),
             Action::Refuse(Code::Voided) if !submission.run.is_not_run() => {
                 let next = self.target();
                 let gives_up = self.happens(30);
@@ -291,7 +291,7 @@
 // booking has not run, and no submission in progress at that time runs it later.
 #[test]
 fn step_random_faults() {
-    let mut answered = HashMap::new();
+    let mut outcomes = HashMap::new();
     for seed in 0..4_000 {
         let mut simulation = Simulation::new(seed);
         let mut submissions: Vec<Submission> = Vec::new();
@@ -319,14 +319,14 @@
             }
             match ending {
                 None => submissions.push(submission),
-                Some(Ending::Answer) => *answered.entry("answer").or_insert(0) += 1,
+                Some(Ending::Response) => *outcomes.entry("answer").or_insert(0) += 1,
                 Some(Ending::EntryDied) => {}
                 Some(Ending::Refused(not_run)) => {
-                    *answered.entry(if not_run { "not-run" } else { "unknown" }).or_insert(0) += 1;
+                    *outcomes.entry(if not_run { "not-run" } else { "unknown" }).or_insert(0) += 1;
                 }
             }
         }
         assert!(simulation.runs <= 1, "seed {seed}: the booking ran {} times", simulation.runs);
     }
-    assert!(answered["answer"] > 5_000 && answered["not-run"] > 100, "{answered:?}");
+    assert!(outcomes["answer"] > 5_000 && outcomes["not-run"] > 100, "{outcomes:?}");
 }
--- a/core/tests/requests/limits.rs
+++ b/core/tests/requests/limits.rs
@@ -1,53 +1,53 @@
 use mastichaven_core::Time;
 use mastichaven_core::limits;
-use mastichaven_core::limits::Rate;
 use mastichaven_core::limits::SLACK;
+use mastichaven_core::limits::TokenBucket;
 use mastichaven_core::retry::RetryBudget;
 
-// A customer sends far more than its rate through eight entries that do not talk to each other.
-// Together they let in no more than the rate with its slack, and no less than the rate.
+// A customer exceeds its rate through eight uncoordinated entries. Together they admit at least the
+// rate, and at most the rate with its slack.
 #[test]
-fn take_through_entries_that_do_not_talk() {
+fn try_take_over_uncoordinated_entries() {
     let (limit, entries, seconds) = (100.0, 8, 20);
-    let mut rates = vec![Rate::new(Time::ZERO); entries];
-    let mut taken = 0;
+    let mut buckets = vec![TokenBucket::new(Time::ZERO); entries];
+    let mut admitted = 0;
     for millis in 0..seconds * 1_000 {
-        for rate in &mut rates {
-            let share = limits::share(limit, entries);
-            taken += u64::from(rate.take(share, Time::from_millis(millis)).is_ok());
+        for bucket in &mut buckets {
+            let share = limits::rate_share(limit, entries);
+            admitted += u64::from(bucket.try_take(share, Time::from_millis(millis)).is_ok());
         }
     }
-    let per_second = taken as f64 / seconds as f64;
+    let per_second = admitted as f64 / seconds as f64;
     let with_burst = limit * SLACK * (1.0 + 1.0 / seconds as f64) + 1.0;
     assert!((limit..=with_burst).contains(&per_second), "{per_second}");
 }
 
 #[test]
-fn take_says_when_to_come_back() {
-    let mut rate = Rate::new(Time::ZERO);
-    assert!(rate.take(0.5, Time::ZERO).is_ok());
-    let after = rate.take(0.5, Time::ZERO).unwrap_err();
-    assert!(rate.take(0.5, Time::ZERO + after).is_ok());
+fn try_take_returns_retry_delay() {
+    let mut bucket = TokenBucket::new(Time::ZERO);
+    assert!(bucket.try_take(0.5, Time::ZERO).is_ok());
+    let after = bucket.try_take(0.5, Time::ZERO).unwrap_err();
+    assert!(bucket.try_take(0.5, Time::ZERO + after).is_ok());
 }
 
 #[test]
-fn share_of_count_is_never_nothing() {
-    assert_eq!(limits::share_of_count(3, 380), 1);
-    assert_eq!(limits::share_of_count(256, 1), 256);
-    assert!(limits::share_of_count(256, 8) * 8 <= 312);
+fn concurrency_share_is_positive() {
+    assert_eq!(limits::concurrency_share(3, 380), 1);
+    assert_eq!(limits::concurrency_share(256, 1), 256);
+    assert!(limits::concurrency_share(256, 8) * 8 <= 312);
 }
 
-// A zone goes and every request to it fails. Were each sent again at once, the other zones would
-// get twice their load and go too.
+// A zone fails with every request to it. If each were retried at once, the other zones would get
+// twice their load and fail too.
 #[test]
-fn spend_bounds_attempts_while_everything_fails() {
+fn try_withdraw_bounds_retries_under_full_failure() {
     let mut budget = RetryBudget::default();
     let mut attempts = 0;
     for _ in 0..10_000 {
-        budget.earn(0.1);
+        budget.deposit(0.1);
         attempts += 1;
         for _ in 0..2 {
-            attempts += u32::from(budget.spend());
+            attempts += u32::from(budget.try_withdraw());
         }
     }
     assert!(attempts <= 11_010, "{attempts}");
--- a/core/tests/requests/main.rs
+++ b/core/tests/requests/main.rs
@@ -1,4 +1,4 @@
-//! Decisions about single requests: claims, records, admission, streams.
+//! Handling of requests: admission, queueing, routing, claims, attempts, streams.
 
 mod admission;
 mod attempts;
--- a/node/src/entry/dispatch.rs
+++ b/node/src/entry/dispatch.rs
@@ -11,7 +11,7 @@
 use mastichaven_core::ids::Digest;
 use mastichaven_core::quarantine::Crash;
 use mastichaven_core::quarantine::RunPolicy;
-use mastichaven_core::route::Ended;
+use mastichaven_core::route::AttemptResult;
 use mastichaven_core::run::FullResponse;
 use mastichaven_core::run::RunFrame;
 use mastichaven_core::run::RunRequest;
@@ -212,7 +212,7 @@
             match self.order.accept(frame)? {
                 FrameContent::Bytes(bytes) => return Ok(Some(bytes)),
                 FrameContent::End => {
-                    self.lease.set_ended(Ended::Answered);
+                    self.lease.set_ended(AttemptResult::Answered);
                     if self.alone {
                         self.lease.shared().suspects.came_through(self.request);
                     }
--- a/node/src/entry/router.rs
+++ b/node/src/entry/router.rs
@@ -21,17 +21,17 @@
 use mastichaven_core::ids::ModelName;
 use mastichaven_core::ids::ServiceName;
 use mastichaven_core::limits;
-use mastichaven_core::limits::Rate;
+use mastichaven_core::limits::TokenBucket;
 use mastichaven_core::members::Member;
 use mastichaven_core::members::Serving;
 use mastichaven_core::plan::version_to_answer;
 use mastichaven_core::queue::FairQueue;
-use mastichaven_core::queue::Waiting;
+use mastichaven_core::queue::QueuedItem;
 use mastichaven_core::reserve::Reserve;
 use mastichaven_core::retry::RetryBudget;
-use mastichaven_core::route::Ended;
+use mastichaven_core::route::AttemptResult;
 use mastichaven_core::route::Endpoint;
-use mastichaven_core::route::Entries;
+use mastichaven_core::route::EntrySet;
 use mastichaven_core::route::Pool;
 use mastichaven_core::run::Load;
 use serde_json::Value;
@@ -96,11 +96,11 @@
 struct State {
     lines: HashMap<LineKey, Line>,
     versions: HashMap<ModelName, Digest>,
-    rates: HashMap<CustomerName, Rate>,
+    rates: HashMap<CustomerName, TokenBucket>,
     running: HashMap<CustomerName, u32>,
     budget: RetryBudget,
     members: Arc<Vec<Member>>,
-    entries: Option<Entries>,
+    entries: Option<EntrySet>,
     refreshed: Option<Time>,
     generation: Generation,
 }
@@ -133,7 +133,7 @@
     shared: Arc<Shared>,
     key: LineKey,
     customer: CustomerName,
-    ended: Ended,
+    ended: AttemptResult,
     since: Time,
 }
 
@@ -147,16 +147,16 @@
     pub(super) fn report(&self, load: Load) {
         let now = self.shared.clock.now();
         if let Some(line) = lock(&self.shared).lines.get_mut(&self.key) {
-            line.pool.report(&self.to.agent, load, now);
+            line.pool.record_load(&self.to.agent, load, now);
         }
     }
 
     /// Notes that the agent had no room or was closed.
     pub(super) fn refused(&mut self) {
-        self.ended = Ended::Refused;
+        self.ended = AttemptResult::Refused;
         let now = self.shared.clock.now();
         if let Some(line) = lock(&self.shared).lines.get_mut(&self.key) {
-            line.pool.refused(&self.to.agent, now, &mut rand::rng());
+            line.pool.record_refusal(&self.to.agent, now, &mut rand::rng());
         }
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// Notes how the attempt ended, before the lease is dropped.
-    pub(super) fn set_ended(&mut self, ended: Ended) {
+    pub(super) fn set_ended(&mut self, ended: AttemptResult) {
         self.ended = ended;
     }
 
@@ -184,7 +184,7 @@
         if is_sound {
             self.refused();
         } else {
-            self.ended = Ended::Failed;
+            self.ended = AttemptResult::Failed;
         }
     }
 }
@@ -195,8 +195,8 @@
         let now = self.shared.clock.now();
         let mut state = lock(&self.shared);
         if let Some(line) = state.lines.get_mut(&self.key) {
-            line.pool.ended(&self.to.agent, self.ended, limit, now);
-            line.reserve.give_back(&self.customer);
+            line.pool.record_result(&self.to.agent, self.ended, limit, now);
+            line.reserve.release(&self.customer);
         }
         let unused = pump(&self.shared, &mut state, &self.key, now);
         drop(state);
@@ -215,22 +215,22 @@
     let now = shared.clock.now();
     let mut state = lock(shared);
     refresh(shared, &mut state, now);
-    let entries = state.entries.as_ref().map_or(1, Entries::len);
-    let concurrent = limits::share_of_count(customer.concurrent, entries);
+    let entries = state.entries.as_ref().map_or(1, EntrySet::len);
+    let concurrent = limits::concurrency_share(customer.concurrent, entries);
     if state.running.get(&parsed.customer).is_some_and(|running| *running >= concurrent) {
         return Err(Code::CustomerLimit.into());
     }
-    let per_second = limits::share(customer.requests_per_second, entries);
-    let rate = state.rates.entry(parsed.customer.clone()).or_insert_with(|| Rate::new(now));
-    rate.take(per_second, now).map_err(|after| Refused { code: Code::CustomerLimit, after })?;
+    let per_second = limits::rate_share(customer.requests_per_second, entries);
+    let rate = state.rates.entry(parsed.customer.clone()).or_insert_with(|| TokenBucket::new(now));
+    rate.try_take(per_second, now).map_err(|after| Refused { code: Code::CustomerLimit, after })?;
     *state.running.entry(parsed.customer.clone()).or_default() += 1;
-    state.budget.earn(in_force.config.limits.retry_share);
+    state.budget.deposit(in_force.config.limits.retry_share);
     Ok(Admitted { shared: shared.clone(), customer: parsed.customer.clone() })
 }
 
 /// Takes one further attempt from the retry budget.
 pub(super) fn may_retry(shared: &Shared) -> bool {
-    lock(shared).budget.spend()
+    lock(shared).budget.try_withdraw()
 }
 
 /// The time after which an attempt without a head is unusually slow; `None` while nothing is
@@ -301,12 +301,12 @@
     let mut state = lock(shared);
     let State { lines, budget, .. } = &mut *state;
     let line = lines.get_mut(&key)?;
-    if !line.queue.is_empty() || !line.pool.has_room(now) || !budget.spend() {
+    if !line.queue.is_empty() || !line.pool.has_capacity(now) || !budget.try_withdraw() {
         return None;
     }
     let endpoint = line.pool.pick(parsed.prefix, tried, now, &mut rand::rng())?.clone();
     let to = dispatch_to(shared, endpoint);
-    line.reserve.take(&parsed.customer);
+    line.reserve.acquire(&parsed.customer);
     drop(state);
     Some(lease(shared, key, &parsed.customer, to))
 }
@@ -318,7 +318,7 @@
         shared: shared.clone(),
         key,
         customer,
-        ended: Ended::Neither,
+        ended: AttemptResult::Inconclusive,
         since: shared.clock.now(),
     }
 }
@@ -338,9 +338,9 @@
             "service": key.service,
             "version": key.version.map(Digest::to_hex),
             "endpoints": line.pool.len(),
-            "places": line.pool.places(),
-            "places_free": line.pool.free(now),
-            "in_progress": line.pool.sent(),
+            "places": line.pool.total_slots(),
+            "places_free": line.pool.free_slots(now),
+            "in_progress": line.pool.in_flight(),
             "waiting": line.queue.len(),
             "usual_head_ms": line.head_seconds.map(|seconds| seconds * 1_000.0),
         })
@@ -371,17 +371,17 @@
         }
         state.lines.insert(key.clone(), line);
     }
-    let entries = state.entries.as_ref().map_or(1, Entries::len);
+    let entries = state.entries.as_ref().map_or(1, EntrySet::len);
     let line = state.lines.get_mut(key).expect("it was just put there");
     if line.pool.is_empty() {
         return Err(Code::NoEndpoint.into());
     }
-    line.reserve.seen(&parsed.customer, now);
+    line.reserve.record_request(&parsed.customer, now);
     if line.queue.is_empty()
         && may_take(line, &parsed.customer, entries, now)
         && let Some(to) = pick(shared, &mut line.pool, parsed.prefix, tried, now)
     {
-        line.reserve.take(&parsed.customer);
+        line.reserve.acquire(&parsed.customer);
         return Ok(Turn::Now(to));
     }
     let wait = line.queue.expected_wait(&parsed.customer);
@@ -389,7 +389,7 @@
         return Err(Refused { code: Code::Shed, after: wait });
     }
     let (grant, rx) = oneshot::channel();
-    let waiting = Waiting {
+    let waiting = QueuedItem {
         item: Waiter { prefix: parsed.prefix, tried: tried.to_vec(), grant },
         customer: parsed.customer.clone(),
         work: parsed.work,
@@ -434,20 +434,20 @@
 }
 
 fn may_take(line: &Line, customer: &CustomerName, entries: usize, now: Time) -> bool {
-    let (free, places) = (line.pool.free(now), line.pool.places());
-    line.reserve.may_take(customer, free, places, entries, now)
+    let (free, places) = (line.pool.free_slots(now), line.pool.total_slots());
+    line.reserve.may_acquire(customer, free, places, entries, now)
 }
 
 /// Gives those that wait their turns while there is room. Leases that nobody took are given back
 /// to be dropped without the lock, which their drop takes.
 fn pump(shared: &Arc<Shared>, state: &mut State, key: &LineKey, now: Time) -> Vec<Lease> {
     let mut unused = Vec::new();
-    let entries = state.entries.as_ref().map_or(1, Entries::len);
+    let entries = state.entries.as_ref().map_or(1, EntrySet::len);
     let Some(line) = state.lines.get_mut(key) else {
         return unused;
     };
     let mut late = Vec::new();
-    while line.pool.has_room(now)
+    while line.pool.has_capacity(now)
         && line.queue.next_customer().is_some_and(|next| may_take(line, next, entries, now))
     {
         let Some(waiting) = line.queue.pop(now, &mut late) else {
@@ -460,7 +460,7 @@
         let Some(to) = pick(shared, &mut line.pool, prefix, &tried, now) else {
             break;
         };
-        line.reserve.take(&waiting.customer);
+        line.reserve.acquire(&waiting.customer);
         let granted = lease(shared, key.clone(), &waiting.customer, to);
         if let Err(Ok(lease)) = grant.send(Ok(granted)) {
             unused.push(lease);
@@ -505,7 +505,7 @@
     state.versions.clear();
     state.members = shared.members();
     let place = &shared.settings.place;
-    let entries = Entries::new(&state.members, &place.host, &place.zone);
+    let entries = EntrySet::new(&state.members, &place.host, &place.zone);
     let members = state.members.clone();
     for (key, line) in &mut state.lines {
         refresh_line(line, &members, &entries, &in_force.config, key, now);
@@ -517,7 +517,7 @@
 fn refresh_line(
     line: &mut Line,
     members: &[Member],
-    entries: &Entries,
+    entries: &EntrySet,
     config: &Config,
     key: &LineKey,
     now: Time,
