--- a/core/src/check.rs
+++ b/core/src/check.rs
@@ -1,8 +1,8 @@
-//! Second pass over a folder of configuration: all files together.
+//! Second pass over a configuration folder: merging and validation of all files.
 //!
-//! [`merge`] puts the files together in name order; a name that two files define without
-//! `override = true` is a problem, because the order of names would silently decide. [`check`]
-//! then looks at references and ranges. Both report everything at once.
+//! [`merge`] combines the files in the order of their names. A name that two files define without
+//! `override = true` is a problem, because the order of file names would silently decide between
+//! them. [`check`] validates references and ranges. Both report all problems at once.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry as Slot;
@@ -30,13 +30,13 @@
 use crate::ids::ZoneName;
 use crate::ids::is_valid_name;
 
-/// Replicas of one placement at most.
+/// Maximum number of replicas of one placement.
 pub const MAX_REPLICAS: u32 = 10_000;
 
-/// Files of a folder put together.
+/// The merged files of a folder.
 #[derive(Clone, Debug, Default)]
 pub struct Merged {
-    /// The configuration.
+    /// Merged configuration; the last definition of a name wins.
     pub config: Config,
     sources: BTreeMap<(Kind, SmolStr), Source>,
     limit_lines: BTreeMap<SmolStr, (SmolStr, usize)>,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Puts files together; `files` come in name order. O(n log n) in the entries.
+/// Merges `files`, which must be in the order of their names. O(n log n) in the entries.
 pub fn merge(files: &[(SmolStr, Arc<ParsedFile>)]) -> (Merged, Vec<Problem>) {
     let mut merged = Merged::default();
     let mut problems = Vec::new();
@@ -63,15 +63,15 @@
     for (file, parsed) in files {
         for (index, entry) in parsed.entries.iter().enumerate() {
             let source = Source { file: file.clone(), parsed: parsed.clone(), entry: index };
-            problems.extend(define(&mut merged.sources, source));
-            put(&mut merged.config, entry);
+            problems.extend(record_definition(&mut merged.sources, source));
+            insert_value(&mut merged.config, entry);
         }
         for (key, (value, line)) in &parsed.limits.keys {
             if let Some((other, at)) = merged.limit_lines.get(key)
                 && !parsed.limits.overrides
             {
                 let path = format!("{LIMITS_TABLE}.{key}");
-                problems.push(duplicate(file, *line, path, other, *at));
+                problems.push(duplicate_name(file, *line, path, other, *at));
             }
             merged.limit_lines.insert(key.clone(), (file.clone(), *line));
             limits.insert(key.to_string(), value.clone());
@@ -81,7 +81,10 @@
     (merged, problems)
 }
 
-fn define(sources: &mut BTreeMap<(Kind, SmolStr), Source>, source: Source) -> Option<Problem> {
+fn record_definition(
+    sources: &mut BTreeMap<(Kind, SmolStr), Source>,
+    source: Source,
+) -> Option<Problem> {
     let entry = source.entry();
     let path = format!("{}.{}", entry.kind.as_str(), entry.name);
     let (file, line, overrides) = (source.file.clone(), entry.line, entry.overrides);
@@ -94,28 +97,28 @@
                 key: path,
                 code: Code::DanglingReference,
                 detail: "`override = true`, but no earlier file defines this name".to_owned(),
-                instead: "remove the line, or name the file later in the order".to_owned(),
+                suggestion: "remove the line, or name the file later in the order".to_owned(),
             })
         }
         Slot::Occupied(mut slot) => {
             let old = slot.insert(source);
-            (!overrides).then(|| duplicate(&file, line, path, &old.file, old.entry().line))
+            (!overrides).then(|| duplicate_name(&file, line, path, &old.file, old.entry().line))
         }
     }
 }
 
-fn duplicate(file: &SmolStr, line: usize, key: String, other: &SmolStr, at: usize) -> Problem {
+fn duplicate_name(file: &SmolStr, line: usize, key: String, other: &SmolStr, at: usize) -> Problem {
     Problem {
         file: file.clone(),
         line,
         key,
         code: Code::DuplicateName,
         detail: format!("also defined at {other}:{at}"),
-        instead: "write `override = true` here if this one is meant".to_owned(),
+        suggestion: "write `override = true` here if this one is meant".to_owned(),
     }
 }
 
-fn put(config: &mut Config, entry: &Entry) {
+fn insert_value(config: &mut Config, entry: &Entry) {
     let name = &entry.name;
     match entry.value.clone() {
         Value::Zone(zone) => drop(config.zone.insert(ZoneName(name.clone()), zone)),
@@ -128,15 +131,15 @@
     }
 }
 
-/// Looks at every reference and range. O(n log n) in the entries.
+/// Validates all references and ranges. O(n log n) in the entries.
 pub fn check(merged: &Merged) -> Vec<Problem> {
     let mut checker = Checker { merged, problems: Vec::new() };
-    checker.zones();
-    checker.customers();
-    checker.models();
-    checker.placements();
-    checker.services();
-    checker.limits();
+    checker.check_zones();
+    checker.check_customers();
+    checker.check_models();
+    checker.check_placements();
+    checker.check_services();
+    checker.check_limits();
     let mut problems = checker.problems;
     problems.sort_by(|a, b| (&a.file, a.line).cmp(&(&b.file, b.line)));
     problems
@@ -154,7 +157,7 @@
         key: &str,
         code: Code,
         detail: String,
-        instead: impl Into<String>,
+        suggestion: impl Into<String>,
     ) {
         let (kind, name) = at;
         let Some(source) = self.merged.sources.get(&(kind, SmolStr::new(name))) else {
@@ -166,11 +169,11 @@
             key: format!("{}.{name}.{key}", kind.as_str()),
             code,
             detail,
-            instead: instead.into(),
+            suggestion: suggestion.into(),
         });
     }
 
-    fn refer<'k>(
+    fn check_reference<'k>(
         &mut self,
         at: (Kind, &str),
         key: &str,
@@ -181,7 +184,7 @@
         if names.clone().any(|known| known == name) {
             return;
         }
-        let instead = match names.next() {
+        let suggestion = match names.next() {
             None => format!("define [{}.{name}]", kind.as_str()),
             Some(first) => {
                 let known: Vec<&str> = std::iter::once(first).chain(names).collect();
@@ -189,24 +192,24 @@
             }
         };
         let detail = format!("there is no {} `{name}`", kind.as_str());
-        self.report(at, key, Code::DanglingReference, detail, instead);
+        self.report(at, key, Code::DanglingReference, detail, suggestion);
     }
 
-    fn in_range(&mut self, at: (Kind, &str), key: &str, value: f64, low: f64, high: f64) {
+    fn check_range(&mut self, at: (Kind, &str), key: &str, value: f64, low: f64, high: f64) {
         if !(low..=high).contains(&value) {
             let detail = format!("{value} is out of range");
             self.report(at, key, Code::BadValue, detail, format!("write {low} to {high}"));
         }
     }
 
-    fn digest(&mut self, at: (Kind, &str), key: &str, value: &str) {
+    fn check_digest(&mut self, at: (Kind, &str), key: &str, value: &str) {
         if Digest::from_hex(value).is_none() {
             let detail = format!("`{value}` is not a blake3 digest");
             self.report(at, key, Code::BadValue, detail, "write 64 hexadecimal digits");
         }
     }
 
-    fn zones(&mut self) {
+    fn check_zones(&mut self) {
         let merged = self.merged;
         for (name, zone) in &merged.config.zone {
             let RegionName(region) = &zone.region;
@@ -217,59 +220,59 @@
         }
     }
 
-    fn customers(&mut self) {
+    fn check_customers(&mut self) {
         let merged = self.merged;
         let mut keys: BTreeMap<&str, &str> = BTreeMap::new();
         for (name, customer) in &merged.config.customer {
             let at = (Kind::Customer, name.as_str());
-            self.digest(at, "key_digest", &customer.key_digest);
+            self.check_digest(at, "key_digest", &customer.key_digest);
             if let Some(other) = keys.insert(&customer.key_digest, name.as_str()) {
                 let detail = format!("customer `{other}` has the same key");
                 self.report(at, "key_digest", Code::DuplicateName, detail, "give each its own key");
             }
-            self.in_range(at, "weight", f64::from(customer.weight), 1.0, 1_000.0);
-            self.in_range(at, "requests_per_second", customer.requests_per_second, 1e-3, 1e6);
-            self.in_range(at, "concurrent", f64::from(customer.concurrent), 1.0, 1e6);
-            self.in_range(at, "max_priority", f64::from(customer.max_priority), 0.0, 9.0);
+            self.check_range(at, "weight", f64::from(customer.weight), 1.0, 1_000.0);
+            self.check_range(at, "requests_per_second", customer.requests_per_second, 1e-3, 1e6);
+            self.check_range(at, "concurrent", f64::from(customer.concurrent), 1.0, 1e6);
+            self.check_range(at, "max_priority", f64::from(customer.max_priority), 0.0, 9.0);
         }
     }
 
-    fn models(&mut self) {
+    fn check_models(&mut self) {
         let config = &self.merged.config;
         for (name, model) in &config.model {
             let at = (Kind::Model, name.as_str());
             let of_model = config.version.iter().filter(|(_, version)| version.model == *name);
             let names = of_model.map(|(version, _)| version.as_str());
-            self.refer(at, "serve", (Kind::Version, model.serve.as_str()), names);
+            self.check_reference(at, "serve", (Kind::Version, model.serve.as_str()), names);
         }
         for (name, version) in &config.version {
             let at = (Kind::Version, name.as_str());
             let names = config.model.keys().map(ModelName::as_str);
-            self.refer(at, "model", (Kind::Model, version.model.as_str()), names);
-            self.digest(at, "manifest", &version.manifest);
+            self.check_reference(at, "model", (Kind::Model, version.model.as_str()), names);
+            self.check_digest(at, "manifest", &version.manifest);
         }
     }
 
-    fn placements(&mut self) {
+    fn check_placements(&mut self) {
         let config = &self.merged.config;
         let mut placed: BTreeMap<&ModelName, &str> = BTreeMap::new();
         for (name, placement) in &config.placement {
             let at = (Kind::Placement, name.as_str());
             let names = config.model.keys().map(ModelName::as_str);
-            self.refer(at, "model", (Kind::Model, placement.model.as_str()), names);
+            self.check_reference(at, "model", (Kind::Model, placement.model.as_str()), names);
             if let Some(other) = placed.insert(&placement.model, name) {
                 let detail = format!("placement `{other}` places the same model");
                 self.report(at, "model", Code::DuplicateName, detail, "keep one of them");
             }
             for zone in &placement.zones {
                 let names = config.zone.keys().map(ZoneName::as_str);
-                self.refer(at, "zones", (Kind::Zone, zone.as_str()), names);
+                self.check_reference(at, "zones", (Kind::Zone, zone.as_str()), names);
             }
-            let most = f64::from(MAX_REPLICAS);
-            self.in_range(at, "replicas", f64::from(placement.replicas), 0.0, most);
+            let max_replicas = f64::from(MAX_REPLICAS);
+            self.check_range(at, "replicas", f64::from(placement.replicas), 0.0, max_replicas);
             if let Some(max) = placement.max_replicas {
-                let least = f64::from(placement.replicas);
-                self.in_range(at, "max_replicas", f64::from(max), least, most);
+                let min_replicas = f64::from(placement.replicas);
+                self.check_range(at, "max_replicas", f64::from(max), min_replicas, max_replicas);
             }
             for host in placement.pin.iter().filter(|host| placement.exclude.contains(host)) {
                 let detail = format!("host `{host}` is in `pin` and in `exclude`");
@@ -278,17 +281,17 @@
         }
     }
 
-    fn services(&mut self) {
+    fn check_services(&mut self) {
         let config = &self.merged.config;
         for (name, service) in &config.service {
             let at = (Kind::Service, name.as_str());
             match service {
                 Service::Model { model, .. } => {
                     let names = config.model.keys().map(ModelName::as_str);
-                    self.refer(at, "model", (Kind::Model, model.as_str()), names);
+                    self.check_reference(at, "model", (Kind::Model, model.as_str()), names);
                 }
                 Service::Plain { concurrent, .. } => {
-                    self.in_range(at, "concurrent", f64::from(*concurrent), 1.0, 1e5);
+                    self.check_range(at, "concurrent", f64::from(*concurrent), 1.0, 1e5);
                 }
             }
         }
@@ -296,7 +299,7 @@
         for (name, route) in &config.route {
             let at = (Kind::Route, name.as_str());
             let names = config.service.keys().map(ServiceName::as_str);
-            self.refer(at, "service", (Kind::Service, route.service.as_str()), names);
+            self.check_reference(at, "service", (Kind::Service, route.service.as_str()), names);
             if !route.path.starts_with('/') {
                 let detail = format!("`{}` does not begin with `/`", route.path);
                 self.report(at, "path", Code::BadValue, detail, format!("write `/{}`", route.path));
@@ -308,7 +311,7 @@
         }
     }
 
-    fn limits(&mut self) {
+    fn check_limits(&mut self) {
         for (key, value, low, high) in limit_ranges(&self.merged.config.limits) {
             if (low..=high).contains(&value) {
                 continue;
@@ -322,13 +325,13 @@
                 key: format!("{LIMITS_TABLE}.{key}"),
                 code: Code::BadValue,
                 detail: format!("{value} is out of range"),
-                instead: format!("write {low} to {high}"),
+                suggestion: format!("write {low} to {high}"),
             });
         }
     }
 }
 
-/// Keys of `limits` with their values and the range allowed.
+/// Keys of `limits` with their values and the lowest and highest value allowed.
 fn limit_ranges(limits: &Limits) -> [(&'static str, f64, f64, f64); 10] {
     let hour = 3_600_000.0;
     [
--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -1,7 +1,7 @@
-//! The configuration operators declare, as one merged and validated value.
+//! The configuration declared by operators.
 //!
-//! Each kind is a table of names. A folder of TOML files is merged in name order into one
-//! [`Config`]; an accepted configuration carries a [`Generation`](crate::ids::Generation).
+//! Each kind of entry is a table keyed by name. The TOML files of a folder are merged in the order
+//! of their names into one [`Config`]; an accepted configuration carries a [`Generation`](crate::ids::Generation).
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
 use crate::ids::VersionName;
 use crate::ids::ZoneName;
 
-/// Everything operators declare.
+/// The whole configuration.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
@@ -29,24 +29,24 @@
     pub model: BTreeMap<ModelName, Model>,
     /// Versions by name; a version belongs to one model.
     pub version: BTreeMap<VersionName, Version>,
-    /// Where and how often each model runs.
+    /// Placements by name; at most one for each model.
     pub placement: BTreeMap<SmolStr, Placement>,
-    /// Services that routes lead to: a model, or a plain service.
+    /// Services by name.
     pub service: BTreeMap<ServiceName, Service>,
     /// Routes by name.
     pub route: BTreeMap<SmolStr, Route>,
-    /// Limits that hold for the whole fleet.
+    /// Fleet-wide limits.
     pub limits: Limits,
 }
 
-/// Whether an availability zone takes new work.
+/// Whether an availability zone accepts new requests.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ZoneState {
-    /// It takes work.
+    /// The zone accepts requests.
     #[default]
     In,
-    /// Operators have taken it out: no new work, no new weights.
+    /// Operators have taken the zone out: it receives neither new requests nor new weights.
     Out,
 }
 
@@ -54,40 +54,40 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct AvailabilityZone {
-    /// The region it lies in.
+    /// Region of the zone.
     pub region: RegionName,
-    /// Whether it takes new work.
+    /// Whether the zone accepts new requests.
     #[serde(default)]
     pub state: ZoneState,
 }
 
-/// A customer: whoever sends requests under one key.
+/// A customer, identified by the key sent with its requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
-    /// blake3 digest of the caller's key, in hexadecimal; the key itself is never configured.
+    /// blake3 digest of the customer's key in hexadecimal; the key itself is never configured.
     pub key_digest: SmolStr,
-    /// Share of a contended queue relative to other customers.
+    /// Weight of its share of a contended queue, relative to other customers.
     #[serde(default = "defaults::weight")]
     pub weight: u32,
-    /// Requests a second over the whole fleet, on average.
+    /// Maximum average rate of requests per second over the whole fleet.
     #[serde(default = "defaults::requests_per_second")]
     pub requests_per_second: f64,
-    /// Requests in progress over the whole fleet.
+    /// Maximum number of requests in flight over the whole fleet.
     #[serde(default = "defaults::concurrent")]
     pub concurrent: u32,
-    /// The highest priority its requests may ask for, 0 (lowest) to 9.
+    /// Highest priority that its requests may set, from 0 (lowest) to 9.
     #[serde(default = "defaults::max_priority")]
     pub max_priority: u8,
 }
 
-/// A model.
+/// A model that endpoints can serve.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The version that new placements load and requests are answered from.
+    /// Version that new replicas load and that answers requests.
     pub serve: VersionName,
-    /// Memory one replica needs, in MiB.
+    /// Memory that one replica needs, in MiB; defaults to 0.
     #[serde(default)]
     pub memory_mib: u64,
 }
@@ -96,24 +96,24 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// The model it belongs to.
+    /// Model that the version belongs to.
     pub model: ModelName,
-    /// blake3 digest of the manifest, in hexadecimal.
+    /// blake3 digest of the manifest of its weights, in hexadecimal.
     pub manifest: SmolStr,
 }
 
-/// Where and how often a model runs.
+/// Number and location of the replicas of a model.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Placement {
-    /// The model.
+    /// Placed model.
     pub model: ModelName,
-    /// Replicas kept when there is no pressure.
+    /// Number of replicas kept without load.
     pub replicas: u32,
-    /// Replicas at most, when the queue presses; equal to `replicas` when left out.
+    /// Maximum number of replicas when requests queue up; defaults to `replicas`.
     #[serde(default)]
     pub max_replicas: Option<u32>,
-    /// The zones it may run in; all zones when empty.
+    /// Zones in which replicas may run; all zones if empty.
     #[serde(default)]
     pub zones: Vec<ZoneName>,
     /// Hosts that always hold a replica.
@@ -124,62 +124,63 @@
     pub exclude: Vec<HostName>,
 }
 
-/// What a route leads to.
+/// Target of a route.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "lowercase", tag = "kind")]
 pub enum Service {
     /// A model served by model engines.
     Model {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
     },
     /// A plain HTTP service.
     Plain {
-        /// Whether every call may be repeated without harm.
+        /// Whether every request can be repeated safely.
         #[serde(default)]
         idempotent: bool,
-        /// Requests one endpoint of it bears at once when warm.
+        /// Requests that one warm endpoint can process concurrently.
         #[serde(default = "defaults::plain_concurrent")]
         concurrent: u32,
     },
 }
 
-/// Leads requests to a service.
+/// Maps requests to a service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Path prefix, from `/`.
+    /// Path prefix, starting with `/`.
     pub path: SmolStr,
-    /// For model routes: the value of the body's `model` field; any when left out.
+    /// Required value of the `model` field of the request body; any value if `None`.
     #[serde(default)]
     pub model: Option<SmolStr>,
-    /// The service it leads to.
+    /// Service that handles the requests.
     pub service: ServiceName,
 }
 
-/// Limits that hold for the whole fleet.
+/// Fleet-wide limits.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Requests waiting in one entry, all customers together.
+    /// Maximum number of requests queued in one entry, over all customers.
     pub queue_len: u32,
-    /// Deadline of a request that names none, in milliseconds.
+    /// Default deadline of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// Time to the first byte of an answer, in milliseconds.
+    /// Timeout for the first byte of an answer, in milliseconds.
     pub first_byte_ms: u64,
-    /// Time between two bytes of an answer, in milliseconds.
+    /// Timeout between two bytes of an answer, in milliseconds.
     pub between_bytes_ms: u64,
-    /// Retries as a share of first attempts.
+    /// Retry budget as a share of first attempts.
     pub retry_share: f64,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: u64,
-    /// Largest share of a service's endpoints that may be ejected as outliers.
+    /// Maximum share of the endpoints of a service that may be ejected as outliers.
     pub eject_share: f64,
-    /// Milliseconds a fingerprint stays quarantined.
+    /// Time for which the fingerprint of a request stays quarantined, in milliseconds.
     pub quarantine_ms: u64,
-    /// Seconds the record of an idempotency key is kept.
+    /// Time for which the record of an idempotency key is kept, in seconds.
     pub claim_seconds: u64,
-    /// Bytes from the origin, as a multiple of a version's size, that a push may cost at most.
+    /// Maximum number of bytes that a rollout may read from the origin, as a multiple of the size
+    /// of the version.
     pub origin_copies: f64,
 }
 
--- a/core/src/folder.rs
+++ b/core/src/folder.rs
@@ -1,9 +1,8 @@
-//! First pass over a folder of configuration: each file by itself.
+//! First pass over a configuration folder: parsing of each file.
 //!
-//! [`parse`] reads one file into its entries and reports everything that is wrong in it, not only
-//! the first thing. Entries that are partly wrong are kept without the wrong keys, so that a
-//! process that is older than the file still puts the rest of it in force.
-//! [`crate::check`] makes the second pass over all files together.
+//! [`parse`] reads one file into its entries and reports all its problems, not only the first one.
+//! Entries with invalid keys are kept without these keys, so that a process that is older than the
+//! file still applies the rest of it. [`crate::check`] is the second pass over all files.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -28,33 +27,33 @@
 use crate::config::Version;
 use crate::ids::is_valid_name;
 
-/// Bytes of one file at most.
+/// Maximum size of one file in bytes.
 pub const MAX_FILE_LEN: usize = 16 << 20;
 
-/// Files of one folder at most.
+/// Maximum number of files in one folder.
 pub const MAX_FILES: usize = 4_096;
 
-/// Problems reported of one file at most; more would not be read.
+/// Maximum number of problems reported for one file; nobody would read more.
 pub const MAX_PROBLEMS: usize = 200;
 
-/// The key that allows an entry to replace one of an earlier file.
+/// Key that allows an entry to replace one of an earlier file.
 pub const OVERRIDE_KEY: &str = "override";
 
-/// Something wrong in a folder.
+/// A problem found in a configuration folder.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Problem {
-    /// The file's name.
+    /// Name of the file.
     pub file: SmolStr,
-    /// The line, from 1.
+    /// Line in the file, from 1.
     pub line: usize,
-    /// The key, such as `customer.coop.weight`; empty for a whole file.
+    /// Path of the key, such as `customer.coop.weight`; empty if the whole file is concerned.
     pub key: String,
-    /// The numbered code.
+    /// Code of the problem.
     pub code: Code,
-    /// What is wrong.
+    /// Description of the problem.
     pub detail: String,
-    /// What to write instead; empty when that cannot be told.
-    pub instead: String,
+    /// Suggested correction; empty if none is known.
+    pub suggestion: String,
 }
 
 impl fmt::Display for Problem {
@@ -64,11 +63,11 @@
             write!(f, "{}: ", self.key)?;
         }
         f.write_str(&self.detail)?;
-        if self.instead.is_empty() { Ok(()) } else { write!(f, "; {}", self.instead) }
+        if self.suggestion.is_empty() { Ok(()) } else { write!(f, "; {}", self.suggestion) }
     }
 }
 
-/// The kinds of entries.
+/// Kind of an entry, one for each table of the configuration.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Kind {
     /// `[zone.NAME]`.
@@ -88,7 +87,7 @@
 }
 
 impl Kind {
-    /// All kinds with the name of their table.
+    /// All kinds with their table names, in the order of the variants.
     pub const ALL: [(Kind, &'static str); 7] = [
         (Kind::Zone, "zone"),
         (Kind::Customer, "customer"),
@@ -99,85 +98,85 @@
         (Kind::Route, "route"),
     ];
 
-    /// The name of its table.
+    /// Name of the table.
     pub fn as_str(self) -> &'static str {
         Kind::ALL[self as usize].1
     }
 }
 
-/// The table of limits, which has no names below it.
+/// Name of the table of limits, which has no named entries.
 pub const LIMITS_TABLE: &str = "limits";
 
-/// What an entry declares.
+/// Value of an entry, with a variant for each [`Kind`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// An availability zone.
+    /// `[zone.NAME]`.
     Zone(AvailabilityZone),
-    /// A customer.
+    /// `[customer.NAME]`.
     Customer(Customer),
-    /// A model.
+    /// `[model.NAME]`.
     Model(Model),
-    /// A version.
+    /// `[version.NAME]`.
     Version(Version),
-    /// A placement.
+    /// `[placement.NAME]`.
     Placement(Placement),
-    /// A service.
+    /// `[service.NAME]`.
     Service(Service),
-    /// A route.
+    /// `[route.NAME]`.
     Route(Route),
 }
 
 /// One named entry of a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its kind.
+    /// Kind, from the name of the table.
     pub kind: Kind,
-    /// Its name.
+    /// Name within the kind.
     pub name: SmolStr,
-    /// The line of its name.
+    /// Line of the name, from 1.
     pub line: usize,
-    /// Whether it may replace an entry of an earlier file.
+    /// Whether the entry may replace one of an earlier file.
     pub overrides: bool,
-    /// What it declares.
+    /// Value without invalid keys.
     pub value: Value,
-    /// The lines of its keys.
+    /// Lines of the keys.
     key_lines: Vec<(SmolStr, usize)>,
 }
 
 impl Entry {
-    /// The line of `key`, or of the entry when it does not name the key.
+    /// Line of `key`, or of the entry if it does not set the key.
     pub fn line_of(&self, key: &str) -> usize {
         let found = self.key_lines.iter().find(|(name, _)| name == key);
         found.map_or(self.line, |(_, line)| *line)
     }
 }
 
-/// The limits that one file sets.
+/// Limits set by one file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct LimitsPart {
-    /// Whether it may replace keys of an earlier file.
+pub struct ParsedLimits {
+    /// Whether the file may replace limits of an earlier file.
     pub overrides: bool,
-    /// The values by key, with their lines.
+    /// Values and their lines, by key.
     pub keys: BTreeMap<SmolStr, (toml::Value, usize)>,
 }
 
-/// One file, read.
+/// A parsed file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ParsedFile {
-    /// Its entries, by kind and name.
+    /// Valid entries, ordered by kind and name.
     pub entries: Vec<Entry>,
-    /// Its limits.
-    pub limits: LimitsPart,
+    /// Limits; empty if the file sets none.
+    pub limits: ParsedLimits,
 }
 
 impl ParsedFile {
-    /// Whether it declares nothing.
+    /// Whether the file has neither entries nor limits.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty() && self.limits.keys.is_empty()
     }
 }
 
-/// Reads one file. O(n) in its bytes, apart from one more pass over an entry for each wrong key.
+/// Parses one file. O(n) in its bytes, plus one more pass over an entry for each invalid key.
 pub fn parse(file: &str, text: &str) -> (ParsedFile, Vec<Problem>) {
     let mut reader = Reader::new(file, text);
     let mut parsed = ParsedFile::default();
@@ -195,7 +194,7 @@
         return (parsed, reader.problems);
     }
     for (key, value) in table.into_inner() {
-        reader.read_kind(&key, value, &mut parsed);
+        reader.read_table(&key, value, &mut parsed);
     }
     reader.problems.sort_by_key(|problem| problem.line);
     (parsed, reader.problems)
@@ -219,14 +218,14 @@
         self.line_starts.partition_point(|start| *start <= at)
     }
 
-    fn report(&mut self, line: usize, key: &str, code: Code, detail: String, instead: String) {
+    fn report(&mut self, line: usize, key: &str, code: Code, detail: String, suggestion: String) {
         if self.problems.len() < MAX_PROBLEMS {
             let (file, key) = (self.file.clone(), key.to_owned());
-            self.problems.push(Problem { file, line, key, code, detail, instead });
+            self.problems.push(Problem { file, line, key, code, detail, suggestion });
         }
     }
 
-    fn read_kind(
+    fn read_table(
         &mut self,
         key: &Spanned<toml::de::DeString<'_>>,
         value: Spanned<DeValue<'_>>,
@@ -237,8 +236,8 @@
         let kind = Kind::ALL.iter().find(|(_, text)| *text == name);
         let DeValue::Table(table) = value.into_inner() else {
             let detail = "this is not a table".to_owned();
-            let instead = suggest_kind(name);
-            return self.report(line, name, Code::UnknownKey, detail, instead);
+            let suggestion = suggest_kind(name);
+            return self.report(line, name, Code::UnknownKey, detail, suggestion);
         };
         match kind {
             Some((kind, _)) => {
@@ -265,8 +264,15 @@
         let name = SmolStr::new(name.get_ref());
         let path = format!("{}.{name}", kind.as_str());
         if !is_valid_name(&name) {
-            let instead = "use lower-case letters, digits, `-`, `_` and `.`, at most 63".to_owned();
-            self.report(line, &path, Code::BadName, "the name is not allowed".to_owned(), instead);
+            let suggestion =
+                "use lower-case letters, digits, `-`, `_` and `.`, at most 63".to_owned();
+            self.report(
+                line,
+                &path,
+                Code::BadName,
+                "the name is not allowed".to_owned(),
+                suggestion,
+            );
         }
         let span = value.span();
         let DeValue::Table(mut table) = value.into_inner() else {
@@ -275,15 +281,15 @@
         };
         let overrides = self.take_override(&mut table, &path);
         let key_lines = self.key_lines(&table);
-        let place = Place { path: &path, line, key_lines: &key_lines, span };
+        let context = TableContext { path: &path, line, key_lines: &key_lines, span };
         let value = match kind {
-            Kind::Zone => self.read(table, &place).map(Value::Zone),
-            Kind::Customer => self.read(table, &place).map(Value::Customer),
-            Kind::Model => self.read(table, &place).map(Value::Model),
-            Kind::Version => self.read(table, &place).map(Value::Version),
-            Kind::Placement => self.read(table, &place).map(Value::Placement),
-            Kind::Service => self.read(table, &place).map(Value::Service),
-            Kind::Route => self.read(table, &place).map(Value::Route),
+            Kind::Zone => self.deserialize_valid_keys(table, &context).map(Value::Zone),
+            Kind::Customer => self.deserialize_valid_keys(table, &context).map(Value::Customer),
+            Kind::Model => self.deserialize_valid_keys(table, &context).map(Value::Model),
+            Kind::Version => self.deserialize_valid_keys(table, &context).map(Value::Version),
+            Kind::Placement => self.deserialize_valid_keys(table, &context).map(Value::Placement),
+            Kind::Service => self.deserialize_valid_keys(table, &context).map(Value::Service),
+            Kind::Route => self.deserialize_valid_keys(table, &context).map(Value::Route),
         };
         if let Some(value) = value {
             parsed.entries.push(Entry { kind, name, line, overrides, value, key_lines });
@@ -297,11 +303,11 @@
             let line = self.line(&Some(key.span()));
             let name = SmolStr::new(key.get_ref());
             let span = value.span();
-            let place = Place { path: LIMITS_TABLE, line, key_lines: &key_lines, span };
-            let mut alone = DeTable::new();
-            alone.insert(key, value.clone());
+            let context = TableContext { path: LIMITS_TABLE, line, key_lines: &key_lines, span };
+            let mut single_key = DeTable::new();
+            single_key.insert(key, value.clone());
             let before = self.problems.len();
-            let _: Option<Limits> = self.read(alone, &place);
+            let _: Option<Limits> = self.deserialize_valid_keys(single_key, &context);
             let deserializer = ValueDeserializer::from(value);
             if self.problems.len() > before {
                 continue;
@@ -323,7 +329,7 @@
             let detail = "`override` is true or false".to_owned();
             self.report(line, path, Code::BadValue, detail, "write `override = true`".to_owned());
         }
-        *table = without(std::mem::take(table), OVERRIDE_KEY);
+        *table = without_key(std::mem::take(table), OVERRIDE_KEY);
         flag == Some(true)
     }
 
@@ -332,39 +338,40 @@
         table.iter().map(|(key, _)| (SmolStr::new(key.get_ref()), line(key))).collect()
     }
 
-    /// Reads a table; a key that is wrong is reported and left out, and the rest is read again.
-    fn read<T: DeserializeOwned>(
+    /// Deserializes a table. An invalid key is reported and removed, and the rest is tried again.
+    fn deserialize_valid_keys<T: DeserializeOwned>(
         &mut self,
         mut table: DeTable<'_>,
-        place: &Place<'_>,
+        context: &TableContext<'_>,
     ) -> Option<T> {
-        let mut dropped = Vec::new();
+        let mut dropped_keys = Vec::new();
         loop {
-            let value = Spanned::new(place.span.clone(), DeValue::Table(table.clone()));
+            let value = Spanned::new(context.span.clone(), DeValue::Table(table.clone()));
             let error = match T::deserialize(ValueDeserializer::from(value)) {
                 Ok(value) => return Some(value),
                 Err(error) => error,
             };
-            let key = self.blame(&table, &error);
-            self.report_error(&error, key.as_deref(), &dropped, place);
+            let key = self.offending_key(&table, &error);
+            self.report_error(&error, key.as_deref(), &dropped_keys, context);
             let key = key?;
-            table = without(table, &key);
-            dropped.push(key);
+            table = without_key(table, &key);
+            dropped_keys.push(key);
         }
     }
 
-    /// The key of `table` that an error is about.
-    fn blame(&self, table: &DeTable<'_>, error: &toml::de::Error) -> Option<String> {
+    /// Returns the key of `table` that caused an error.
+    fn offending_key(&self, table: &DeTable<'_>, error: &toml::de::Error) -> Option<String> {
         let named = scan_quoted(error.message()).next().unwrap_or_default().to_owned();
         if error.message().starts_with("unknown field") {
-            let here = table.iter().any(|(key, _)| *key.get_ref() == *named);
-            return here.then_some(named);
+            let is_present = table.iter().any(|(key, _)| *key.get_ref() == *named);
+            return is_present.then_some(named);
         }
         let at = error.span()?.start;
-        let holds = |key: &Spanned<toml::de::DeString<'_>>, value: &Spanned<DeValue<'_>>| {
+        let contains_error = |key: &Spanned<toml::de::DeString<'_>>,
+                              value: &Spanned<DeValue<'_>>| {
             key.span().contains(&at) || value.span().contains(&at)
         };
-        let found = table.iter().find(|(key, value)| holds(key, value));
+        let found = table.iter().find(|(key, value)| contains_error(key, value));
         found.map(|(key, _)| key.get_ref().to_string())
     }
 
@@ -372,35 +379,35 @@
         &mut self,
         error: &toml::de::Error,
         key: Option<&str>,
-        dropped: &[String],
-        place: &Place<'_>,
+        dropped_keys: &[String],
+        context: &TableContext<'_>,
     ) {
         let message = error.message();
         let quoted: Vec<&str> = scan_quoted(message).collect();
         let missing = message.starts_with("missing field");
-        if missing && dropped.iter().any(|key| quoted.first() == Some(&key.as_str())) {
+        if missing && dropped_keys.iter().any(|key| quoted.first() == Some(&key.as_str())) {
             return;
         }
-        let line = key.map_or(place.line, |key| {
-            let found = place.key_lines.iter().find(|(name, _)| name == key);
-            found.map_or(place.line, |(_, line)| *line)
+        let line = key.map_or(context.line, |key| {
+            let found = context.key_lines.iter().find(|(name, _)| name == key);
+            found.map_or(context.line, |(_, line)| *line)
         });
-        let path = key.map_or(place.path.to_owned(), |key| format!("{}.{key}", place.path));
-        let (code, instead) = if message.starts_with("unknown field") {
+        let path = key.map_or(context.path.to_owned(), |key| format!("{}.{key}", context.path));
+        let (code, suggestion) = if message.starts_with("unknown field") {
             (Code::UnknownKey, suggest(quoted.first().copied(), &quoted[1..]))
         } else if message.starts_with("unknown variant") {
             (Code::BadValue, suggest(quoted.first().copied(), &quoted[1..]))
         } else if missing {
             let name = quoted.first().copied().unwrap_or_default();
-            (Code::MissingKey, format!("add `{name} = …` to [{}]", place.path))
+            (Code::MissingKey, format!("add `{name} = …` to [{}]", context.path))
         } else {
             (Code::BadValue, String::new())
         };
-        self.report(line, &path, code, message.to_owned(), instead);
+        self.report(line, &path, code, message.to_owned(), suggestion);
     }
 }
 
-fn without<'i>(table: DeTable<'i>, key: &str) -> DeTable<'i> {
+fn without_key<'i>(table: DeTable<'i>, key: &str) -> DeTable<'i> {
     let mut rest = DeTable::new();
     for (name, value) in table {
         if *name.get_ref() != *key {
@@ -410,15 +417,15 @@
     rest
 }
 
-/// Where an entry stands.
-struct Place<'a> {
+/// Position of a table in its file, for reports.
+struct TableContext<'a> {
     path: &'a str,
     line: usize,
     key_lines: &'a [(SmolStr, usize)],
     span: Range<usize>,
 }
 
-/// The parts of `message` between backquotes.
+/// Returns the parts of `message` between backquotes.
 fn scan_quoted(message: &str) -> impl Iterator<Item = &str> {
     message.split('`').skip(1).step_by(2)
 }
@@ -429,23 +436,25 @@
     suggest(Some(name), &kinds)
 }
 
-/// What to write instead of `word`: the nearest of `allowed`, or all of them when none is near.
+/// Suggests a replacement for `word`: the closest of `allowed`, or all of them if none is close.
 pub(crate) fn suggest(word: Option<&str>, allowed: &[&str]) -> String {
     let word = word.unwrap_or_default();
-    let nearest = allowed.iter().min_by_key(|candidate| edits(word, candidate));
+    let nearest = allowed.iter().min_by_key(|candidate| edit_distance(word, candidate));
     match nearest {
         None => "remove it".to_owned(),
-        Some(near) if edits(word, near) <= 1 + near.len() / 4 => format!("write `{near}`"),
-        Some(_) if allowed.len() <= MAX_LISTED => format!("one of {}", allowed.join(", ")),
+        Some(candidate) if edit_distance(word, candidate) <= 1 + candidate.len() / 4 => {
+            format!("write `{candidate}`")
+        }
+        Some(_) if allowed.len() <= MAX_SUGGESTED_NAMES => format!("one of {}", allowed.join(", ")),
         Some(_) => String::new(),
     }
 }
 
-/// Names listed in a suggestion at most.
-const MAX_LISTED: usize = 12;
+/// Maximum number of names listed in a suggestion.
+const MAX_SUGGESTED_NAMES: usize = 12;
 
-/// Edit distance of two short words. O(n·m).
-fn edits(a: &str, b: &str) -> usize {
+/// Returns the Levenshtein distance of two short words. O(n·m).
+fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.chars().enumerate() {
@@ -453,8 +462,8 @@
         row[0] = i + 1;
         for (j, y) in b.iter().enumerate() {
             let above = row[j + 1];
-            let replaced = diagonal + usize::from(x != *y);
-            row[j + 1] = replaced.min(above + 1).min(row[j] + 1);
+            let substituted = diagonal + usize::from(x != *y);
+            row[j + 1] = substituted.min(above + 1).min(row[j] + 1);
             diagonal = above;
         }
     }
--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -233,7 +233,7 @@
         if delta.to <= self.list.generation {
             return Offer::Old;
         }
-        let Ok(list) = self.list.apply(delta) else {
+        let Ok(list) = self.list.apply_delta(delta) else {
             return Offer::Gap;
         };
         let given: HashMap<Digest, &Bytes> = parts.iter().map(|p| (Digest::of(p), p)).collect();
@@ -276,7 +276,7 @@
         if self.list.generation <= generation {
             return None;
         }
-        let delta = self.list.delta(generation);
+        let delta = self.list.delta_since(generation);
         let mut parts = Vec::new();
         let mut len = 0;
         for file in &delta.files {
@@ -330,7 +330,8 @@
     parts: &'a [Option<Bytes>],
 ) -> impl Iterator<Item = MissingPart> + 'a {
     let absent = file.parts.iter().zip(parts).filter(|(_, bytes)| bytes.is_none());
-    absent.map(|(digest, _)| MissingPart { digest: *digest, key: part_key(file.changed, *digest) })
+    absent
+        .map(|(digest, _)| MissingPart { digest: *digest, key: part_key(file.changed_in, *digest) })
 }
 
 /// The platform's key of a part. The generation is part of it, so that a part may be deleted once
--- a/node/src/accepted.rs
+++ b/node/src/accepted.rs
@@ -74,5 +74,5 @@
 }
 
 fn whole_list(store: &dyn ObjectStore, head: &Head) -> Result<Delta> {
-    read_list(store, head).map(|list| list.delta(Generation(0)))
+    read_list(store, head).map(|list| list.delta_since(Generation(0)))
 }
--- a/node/src/publish.rs
+++ b/node/src/publish.rs
@@ -213,7 +213,7 @@
         key: String::new(),
         code: Code::BadSyntax,
         detail: "the file is not UTF-8 text".to_owned(),
-        instead: "save it as UTF-8, or remove it from the folder".to_owned(),
+        suggestion: "save it as UTF-8, or remove it from the folder".to_owned(),
     }
 }
 
@@ -224,7 +224,7 @@
         key: String::new(),
         code: Code::TooLarge,
         detail: format!("the folder has {count} files"),
-        instead: format!("put them together into {} or fewer", folder::MAX_FILES),
+        suggestion: format!("put them together into {} or fewer", folder::MAX_FILES),
     }
 }
 
@@ -258,8 +258,8 @@
             Base::Files(_) | Base::Unknown | Base::Accepted => FileParts::new(),
         };
         let theirs = now.list.parts();
-        let files =
-            generation::three_way(&known, &mine.files, &theirs).map_err(PublishError::Clash)?;
+        let files = generation::three_way_merge(&known, &mine.files, &theirs)
+            .map_err(PublishError::Clash)?;
         if let Some(head) = now.head.as_ref().filter(|_| files == theirs) {
             return Ok(Accepted { generation: head.generation, changed: false, files });
         }
@@ -352,8 +352,8 @@
     options: &Options,
 ) -> Result<Written> {
     let generation = generation::next_generation(now.highest, options.unix_seconds);
-    let list = now.list.next(files, generation);
-    for file in list.files().iter().filter(|file| file.changed == generation) {
+    let list = now.list.with_files(files, generation);
+    for file in list.files().iter().filter(|file| file.changed_in == generation) {
         for digest in &file.parts {
             // A part that only the other publisher has is accepted already, under its own key.
             if let Some(bytes) = mine.parts.get(digest) {
@@ -405,7 +405,7 @@
     let mut keys = now.head.as_ref().map_or(Vec::new(), |head| head.list.clone());
     for file in now.list.files() {
         if files.get(&file.name) != Some(&file.parts) {
-            keys.extend(file.parts.iter().map(|digest| part_key(file.changed, *digest)));
+            keys.extend(file.parts.iter().map(|digest| part_key(file.changed_in, *digest)));
         }
     }
     keys
@@ -419,8 +419,8 @@
     let limit = head.receipts[at].generation;
     // Two files with the same bytes share a key; it is in use as long as one of them names it.
     let keys_of = |file: &FileRef| {
-        let changed = file.changed;
-        file.parts.clone().into_iter().map(move |digest| part_key(changed, digest))
+        let changed_in = file.changed_in;
+        file.parts.clone().into_iter().map(move |digest| part_key(changed_in, digest))
     };
     let used: BTreeSet<SmolStr> = list.files().iter().flat_map(keys_of).collect();
     let (old, kept): (Vec<_>, Vec<_>) =
@@ -466,7 +466,7 @@
     digest: Digest,
 ) -> Result<Bytes> {
     let file = accepted.files().iter().find(|file| file.name == *name).ok_or(Code::WatchGap)?;
-    let part = MissingPart { digest, key: part_key(file.changed, digest) };
+    let part = MissingPart { digest, key: part_key(file.changed_in, digest) };
     Ok(accepted::read_part(store, &part)?)
 }
 
--- a/node/tests/proof/files.rs
+++ b/node/tests/proof/files.rs
@@ -91,7 +91,7 @@
         let list = |text: &str, generation| {
             let parts = vec![Digest::of(text.as_bytes())];
             let files = FileParts::from([("a.toml".into(), parts)]);
-            FileList::default().next(&files, Generation(generation)).delta(Generation(0))
+            FileList::default().with_files(&files, Generation(generation)).delta_since(Generation(0))
         };
         let whole = Bytes::from(ZONE);
         let first = documents.offer_config(&list("", 1), &[Bytes::new()]);
