--- a/core/src/arena.rs
+++ b/core/src/arena.rs
@@ -1,4 +1,4 @@
-//! Arenas: values in one vector, named by small `Copy` keys.
+//! Generational arena: values in one vector, referenced by small `Copy` keys.
 
 use std::fmt;
 use std::hash::Hash;
@@ -7,8 +7,8 @@
 
 /// Key of a value of type `T` in an [`Arena`].
 ///
-/// A key keeps the generation of its slot: after the value is removed, the key finds nothing, even
-/// when the slot is in use again.
+/// A key holds the version of its slot. After the value is removed, the key is invalid even if the
+/// slot is reused.
 pub struct Key<T> {
     index: u32,
     version: u32,
@@ -49,7 +49,7 @@
     value: Option<T>,
 }
 
-/// Values in one vector; slots of removed values are used again.
+/// Values in one vector; slots of removed values are reused.
 #[derive(Debug)]
 pub struct Arena<T> {
     slots: Vec<Slot<T>>,
@@ -63,7 +63,7 @@
 }
 
 impl<T> Arena<T> {
-    /// An empty arena.
+    /// Creates an empty arena.
     pub fn new() -> Self {
         Self::default()
     }
@@ -80,19 +80,19 @@
         Key { index, version: 0, marker: PhantomData }
     }
 
-    /// The value of `key`, if it is still here. O(1).
+    /// Returns the value of `key`; `None` if it was removed. O(1).
     pub fn get(&self, key: Key<T>) -> Option<&T> {
         let slot = self.slots.get(key.index as usize)?;
         if slot.version == key.version { slot.value.as_ref() } else { None }
     }
 
-    /// The value of `key` for change, if it is still here. O(1).
+    /// Returns the value of `key` mutably; `None` if it was removed. O(1).
     pub fn get_mut(&mut self, key: Key<T>) -> Option<&mut T> {
         let slot = self.slots.get_mut(key.index as usize)?;
         if slot.version == key.version { slot.value.as_mut() } else { None }
     }
 
-    /// Takes the value of `key` out, if it is still here. O(1).
+    /// Removes and returns the value of `key`; `None` if it was removed before. O(1).
     pub fn remove(&mut self, key: Key<T>) -> Option<T> {
         let slot = self.slots.get_mut(key.index as usize)?;
         if slot.version != key.version {
@@ -104,7 +104,7 @@
         Some(value)
     }
 
-    /// All keys and values, in slot order.
+    /// Iterates over all keys and values in slot order.
     pub fn iter(&self) -> impl Iterator<Item = (Key<T>, &T)> {
         self.slots.iter().enumerate().filter_map(|(index, slot)| {
             let key = Key { index: index as u32, version: slot.version, marker: PhantomData };
@@ -112,12 +112,12 @@
         })
     }
 
-    /// The number of values.
+    /// Number of values.
     pub fn len(&self) -> usize {
         self.slots.len() - self.free.len()
     }
 
-    /// Whether there is no value.
+    /// Whether the arena holds no values.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/core/src/code.rs
+++ b/core/src/code.rs
@@ -1,21 +1,21 @@
-//! Numbered result codes, and what each says of whether the request ran.
+//! Numbered result codes and the request outcome that each of them implies.
 //!
-//! The same numbers appear in answers to callers (`mastichaven-code`), in logs, in `ctl`'s output
-//! and in `docs/CODES.md`; a test keeps that table equal to [`Code::ALL`].
+//! The numbers appear in answers to callers (`mastichaven-code`), in logs, in the output of `ctl`
+//! and in `docs/CODES.md`; a test compares that table with [`Code::ALL`].
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What is known of a request when its caller gets the final answer.
+/// Whether a request ran, as reported to its caller with the final answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Outcome {
-    /// The endpoint ran it and the whole answer follows.
+    /// The endpoint ran the request and the complete answer follows.
     Ran,
-    /// It is proved that no endpoint started it and none will.
+    /// No endpoint has started the request and none will; this is proven.
     NotRun,
-    /// It may or may not have run.
+    /// The request may or may not have run.
     Unknown,
 }
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Reads what [`Outcome::as_str`] wrote.
+    /// Parses the text written by [`Outcome::as_str`].
     pub fn from_text(text: &str) -> Option<Outcome> {
         let all = [Outcome::Ran, Outcome::NotRun, Outcome::Unknown];
         all.into_iter().find(|outcome| outcome.as_str() == text)
@@ -38,7 +38,7 @@
 
 macro_rules! codes {
     ($($(#[$doc:meta])* $name:ident = $number:literal, $status:literal, $outcome:ident, $text:literal;)*) => {
-        /// A numbered result.
+        /// A result code.
         ///
         /// 1xx: requests; 2xx: configuration and settings; 3xx: weights and orders;
         /// 4xx: membership, transport and the platform.
@@ -51,27 +51,27 @@
             /// Every code, in numeric order.
             pub const ALL: &'static [Code] = &[$(Code::$name,)*];
 
-            /// The number, stable between releases.
+            /// Number of the code, stable between releases.
             pub fn number(self) -> u16 {
                 match self { $(Code::$name => $number,)* }
             }
 
-            /// The code of a number.
+            /// Code with `number`, if there is one.
             pub fn from_number(number: u16) -> Option<Code> {
                 Code::ALL.iter().copied().find(|code| code.number() == number)
             }
 
-            /// The HTTP status that goes with it towards callers.
+            /// HTTP status sent to callers with this code.
             pub fn http_status(self) -> u16 {
                 match self { $(Code::$name => $status,)* }
             }
 
-            /// What the code proves of the request.
+            /// Outcome of the request that this code implies.
             pub fn outcome(self) -> Outcome {
                 match self { $(Code::$name => Outcome::$outcome,)* }
             }
 
-            /// One line for people.
+            /// Description in one line.
             pub fn text(self) -> &'static str {
                 match self { $(Code::$name => $text,)* }
             }
@@ -82,17 +82,17 @@
 codes! {
     /// The request ran.
     Ok = 100, 200, Ran, "the request ran and the answer is whole";
-    /// The caller's request cannot be read.
+    /// The request cannot be parsed.
     BadRequest = 101, 400, NotRun, "the request cannot be read";
     /// No customer has this key.
     UnknownCustomer = 102, 401, NotRun, "no customer has this key";
-    /// No route leads from this path or model name.
+    /// No route matches the path and model of the request.
     NoRoute = 103, 404, NotRun, "no route leads from this path or model";
-    /// The body or the head is larger than the limit.
+    /// The head or the body exceeds its limit.
     TooLarge = 104, 413, NotRun, "the request is larger than the limit";
-    /// The customer is over its rate or concurrency.
+    /// The customer exceeds its request rate or concurrency limit.
     CustomerLimit = 105, 429, NotRun, "the customer is over its limit; come back after Retry-After";
-    /// The queue is full, or the wait would pass the deadline.
+    /// The queue is full, or the expected wait exceeds the deadline.
     Shed = 106, 503, NotRun, "no capacity in time; come back after Retry-After";
     /// The deadline passed before the request was sent to an endpoint.
     DeadlineBeforeRun = 107, 504, NotRun, "the deadline passed before the request was sent";
@@ -102,7 +102,7 @@
     NoEndpoint = 109, 503, NotRun, "no endpoint of the service is open";
     /// The endpoint is at its admission limit.
     EndpointFull = 110, 503, NotRun, "the endpoint is at its limit";
-    /// The agent is draining or its zone is out.
+    /// The agent is draining, or its availability zone is out.
     EndpointClosed = 111, 503, NotRun, "the endpoint takes no new work";
     /// The agent or its endpoint was lost after the request was sent.
     EndpointLost = 112, 502, Unknown, "the endpoint was lost after the request was sent";
@@ -118,24 +118,25 @@
     KeyUnknown = 117, 409, Unknown, "a request with this idempotency key may have run; it will not run again";
     /// The claim for the idempotency key could not be written in time.
     ClaimUnavailable = 118, 503, Unknown, "this sending ran nothing, but the key's claim is out of reach: an earlier one may have run";
-    /// The answer ended early.
+    /// The answer ended before it was complete.
     Truncated = 119, 502, Unknown, "the answer ended before it was whole";
     /// The endpoint answered with an error of its own.
     EndpointError = 120, 502, Ran, "the endpoint answered with an error";
-    /// The endpoint serves another version than the answer needs.
+    /// The endpoint serves another version than the request needs.
     WrongVersion = 121, 503, NotRun, "the endpoint does not serve the version";
-    /// The caller left before the answer was whole.
+    /// The caller disconnected before the answer was complete.
     CallerLeft = 122, 499, Unknown, "the caller left before the answer was whole";
     /// The retry budget is spent.
     RetryBudget = 123, 503, NotRun, "the retry budget is spent; come back after Retry-After";
-    /// It ran under this idempotency key, and its answer is too large or too old to be kept.
+    /// The request ran under this idempotency key, but its answer was too large or too old to be
+    /// kept.
     AnswerNotKept = 124, 410, Ran, "the request ran before; its answer was not kept";
     /// The caller sends its request too slowly.
     SlowCaller = 125, 408, NotRun, "the request was sent too slowly";
-    /// No configuration has reached this process yet.
+    /// This process has not received a configuration yet.
     NotConfigured = 126, 503, NotRun, "no configuration is in force here yet; come back after Retry-After";
 
-    /// A setting or key is not known.
+    /// A setting or key is unknown.
     UnknownKey = 201, 400, NotRun, "the key is not known here";
     /// A file does not parse.
     BadSyntax = 202, 400, NotRun, "the file is not valid TOML";
@@ -143,24 +144,24 @@
     BadValue = 203, 400, NotRun, "the value is not allowed here";
     /// A name is defined in two files without `override = true`.
     DuplicateName = 204, 400, NotRun, "the name is defined twice without override";
-    /// A reference leads to nothing.
+    /// A reference names an entry that is not defined.
     DanglingReference = 205, 400, NotRun, "the name that is referred to is not defined";
-    /// The folder is empty and emptying was not asked for.
+    /// The folder is empty and `--allow-empty` was not given.
     EmptyFolder = 206, 400, NotRun, "the folder defines nothing and --allow-empty is not given";
     /// Another publisher changed the same file since the base generation.
     PublishConflict = 207, 409, NotRun, "another publisher changed the same file";
     /// A file cannot be read.
     Unreadable = 208, 400, NotRun, "the file cannot be read";
-    /// A name has characters that are not allowed.
+    /// A name contains invalid characters.
     BadName = 209, 400, NotRun, "the name has characters that are not allowed";
-    /// A needed key is missing.
+    /// A required key is missing.
     MissingKey = 210, 400, NotRun, "a needed key is missing";
-    /// A command-line argument is wrong.
+    /// A command-line argument is invalid.
     BadArgument = 211, 400, NotRun, "the argument is not allowed";
 
     /// A chunk does not match its digest.
     CorruptChunk = 301, 502, NotRun, "the chunk does not match its digest";
-    /// The chunk is not here.
+    /// The chunk is not stored on this host.
     NoChunk = 302, 404, NotRun, "the chunk is not here";
     /// The chunk store is full.
     StoreFull = 303, 507, NotRun, "the chunk store is full";
@@ -170,9 +171,9 @@
     OriginBudget = 305, 429, NotRun, "the budget of bytes from the origin is spent";
     /// The manifest is not valid.
     BadManifest = 306, 422, NotRun, "the manifest is not valid";
-    /// An order carries an old fencing token.
+    /// An order carries a stale fencing token.
     StaleOrder = 307, 409, NotRun, "the order carries an old fencing token";
-    /// The engine did not do what it was ordered.
+    /// The engine did not carry out an order.
     OrderIgnored = 308, 502, NotRun, "the engine did not carry out the order";
     /// The chunk was pulled from the origin before.
     PulledBefore = 309, 429, NotRun, "the chunk was pulled from the origin before; peers have it";
@@ -187,19 +188,20 @@
     PeerLost = 404, 502, Unknown, "the peer was lost after the message was sent";
     /// The platform cannot be reached.
     PlatformDown = 405, 503, NotRun, "the platform cannot be reached";
-    /// The platform may have taken the write, its answer is lost.
+    /// The platform's answer was lost; a write may have taken effect.
     PlatformUnknown = 406, 504, Unknown, "the platform's answer was lost";
-    /// The object on the platform was changed by somebody else.
+    /// The object on the platform was changed concurrently.
     PlatformConflict = 407, 409, NotRun, "the object was changed by somebody else";
-    /// The object is larger than the platform takes.
+    /// The object exceeds the maximum size of the platform.
     PlatformTooLarge = 408, 413, NotRun, "the object is larger than the platform takes";
-    /// The watch fell behind the platform's history.
+    /// The watch starts before the oldest change that is retained, or the receiver of a delta missed
+    /// earlier changes.
     WatchGap = 409, 410, NotRun, "the watch fell behind; list again";
-    /// A bounded ring was full.
+    /// A bounded ring buffer is full.
     Busy = 410, 503, NotRun, "a bounded ring is full";
     /// The process is stopping.
     Stopping = 411, 503, NotRun, "the process is stopping";
-    /// TLS material cannot be used.
+    /// The TLS certificate, key or CA file cannot be used.
     BadTls = 412, 500, NotRun, "the TLS files cannot be used";
     /// An address cannot be bound.
     CannotBind = 413, 500, NotRun, "the address cannot be bound";
--- a/core/src/ids.rs
+++ b/core/src/ids.rs
@@ -1,7 +1,7 @@
-//! Names and numbers that identify the things of a deployment.
+//! Names and numeric identifiers.
 //!
-//! Names come from operators and are short strings; numbers are small `Copy` values. Inside one
-//! process a name is resolved once into an arena key (see [`crate::arena`]).
+//! Names are short strings chosen by operators; numeric identifiers are small `Copy` values. Within
+//! a process, a name is resolved once to an arena key (see [`crate::arena`]).
 
 use std::fmt;
 
@@ -12,7 +12,7 @@
 use serde::de::Error;
 use smol_str::SmolStr;
 
-/// The longest name, in bytes, that is accepted from operators or peers.
+/// Maximum length of a name in bytes, from operators and peers.
 pub const MAX_NAME_LEN: usize = 63;
 
 macro_rules! name_type {
@@ -30,7 +30,7 @@
                 Self(SmolStr::new(name))
             }
 
-            /// The name as text.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -51,31 +51,31 @@
 }
 
 name_type! {
-    /// The name of a machine that runs an entry or an agent.
+    /// Name of a machine that runs an entry or an agent.
     HostName
 }
 name_type! {
-    /// The name of an availability zone.
+    /// Name of an availability zone.
     ZoneName
 }
 name_type! {
-    /// The name of a region, a group of availability zones.
+    /// Name of a region, a group of availability zones.
     RegionName
 }
 name_type! {
-    /// The name of a customer: whoever sends requests under one key.
+    /// Name of a customer, who sends requests with one key.
     CustomerName
 }
 name_type! {
-    /// The name of a service: a model or a plain service that routes lead to.
+    /// Name of a service: a model or a plain service that is the target of routes.
     ServiceName
 }
 name_type! {
-    /// The name of a model.
+    /// Name of a model.
     ModelName
 }
 name_type! {
-    /// The name of a version of a model.
+    /// Name of a version of a model.
     VersionName
 }
 
@@ -93,7 +93,7 @@
         && bytes.iter().all(allowed)
 }
 
-/// The number of an accepted configuration. It only rises.
+/// Number of an accepted configuration; strictly increasing.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -106,17 +106,17 @@
     }
 }
 
-/// One life of a process on a host: drawn at start, higher for a later life.
+/// Identifies one run of a process on a host. It is drawn at start, and higher for a later run.
 ///
-/// The upper bits hold seconds of the wall clock at start, the lower ones are random, so that a
-/// host whose clock stood still still gets a fresh number.
+/// The upper bits hold the wall clock in seconds at start. The lower bits are random, so that a
+/// restart gets a new number even if the clock has not advanced.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// One life of an endpoint process, as the endpoint itself reports it.
+/// Identifies one run of an endpoint process, as reported by the endpoint.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -125,8 +125,8 @@
 
 /// Identifies one attempt at a request within the fleet.
 ///
-/// The upper half names the life of the entry that sends it, the lower half rises with each
-/// attempt of that life; [`crate::record`] says what rests on that.
+/// The upper half is the incarnation of the entry that sends it, the lower half increases with each
+/// attempt of that incarnation; [`crate::record`] relies on both.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -134,37 +134,38 @@
 pub struct RequestId(pub u128);
 
 impl RequestId {
-    /// Attempt number `serial` of the entry life `sender`.
+    /// Identifies attempt `serial` of the entry incarnation `sender`.
     pub fn new(sender: Incarnation, serial: u64) -> RequestId {
         RequestId((u128::from(sender.0) << 64) | u128::from(serial))
     }
 
-    /// The life of the entry that sent it.
+    /// Incarnation of the entry that sent it.
     pub fn sender(self) -> u64 {
         (self.0 >> 64) as u64
     }
 
-    /// Its number within that life.
+    /// Number of the attempt within the incarnation.
     pub fn serial(self) -> u64 {
         self.0 as u64
     }
 }
 
-/// Counts the attempts of one request, from 1.
+/// Number of an attempt at one request, from 1.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(transparent)]
 pub struct Attempt(pub u32);
 
-/// Revision of an object on the platform, as the platform numbers it.
+/// Revision of an object on the platform, assigned by the platform.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
-/// The blake3 digest of some bytes; hexadecimal in formats for people, 32 bytes in others.
+/// A blake3 digest; serialized as hexadecimal digits in human-readable formats, otherwise as 32
+/// bytes.
 #[derive(Clone, Copy, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Digest(pub [u8; 32]);
 
@@ -185,17 +186,17 @@
 }
 
 impl Digest {
-    /// The digest of `bytes`.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Digest {
         Digest(*blake3::hash(bytes).as_bytes())
     }
 
-    /// Reads 64 hexadecimal digits.
+    /// Parses 64 hexadecimal digits; `None` if `text` is anything else.
     pub fn from_hex(text: &str) -> Option<Digest> {
         blake3::Hash::from_hex(text).ok().map(|hash| Digest(*hash.as_bytes()))
     }
 
-    /// Writes 64 hexadecimal digits.
+    /// Formats the digest as 64 hexadecimal digits.
     pub fn to_hex(self) -> String {
         blake3::Hash::from_bytes(self.0).to_hex().to_string()
     }
@@ -208,7 +209,7 @@
 }
 
 impl fmt::Display for Digest {
-    /// Writes the first 12 digits, enough to tell digests apart in a log.
+    /// Writes the first 12 digits, which are enough to distinguish digests in a log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.to_hex()[..12])
     }
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,6 +1,8 @@
-//! The decisions of mastichaven: routing, admission, retries, claims, weights, placement,
-//! configuration, membership. No sockets, files, timers, threads, clocks or ambient randomness:
-//! the present time and the random source are arguments.
+//! Decision logic of mastichaven: routing, admission, retries, claims, weights, placement,
+//! configuration and membership.
+//!
+//! This crate uses no sockets, files, timers, threads, clocks or global random number generators.
+//! The current time and the random number generator are arguments.
 //!
 //! ```
 //! use mastichaven_core::Manifest;
--- a/core/src/wire.rs
+++ b/core/src/wire.rs
@@ -1,8 +1,8 @@
 //! Messages between the processes: an [`Ask`] opens a stream, [`Reply`] frames answer it.
 //!
-//! Each message is one length-prefixed postcard value. Every message carries the generation of its
-//! sender, so that any contact tells a process that it is behind. The payload types live with the
-//! decisions that use them; this module only names them.
+//! Each message is a postcard value with a length prefix. It carries the configuration generation
+//! of its sender, so that a process notices on any contact that its own configuration is stale. The
+//! payload types are defined in the modules that handle them.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -25,67 +25,67 @@
 use crate::weights::WeightsAsk;
 use crate::weights::WeightsReply;
 
-/// Result of reading a message.
+/// Result of decoding a message.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// Bytes of one message at most; a longer one closes the stream.
+/// Maximum size of one message in bytes; a larger one closes the stream.
 pub const MAX_MESSAGE_LEN: usize = 8 << 20;
 
-/// Bytes of the length in front of each message.
+/// Size of the length prefix of each message in bytes.
 pub const LEN_BYTES: usize = 4;
 
-/// Who sends a message, and what it knows.
+/// Sender of a request.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Sender {
-    /// The sender's host.
+    /// Host of the sender.
     pub host: HostName,
-    /// Its life.
+    /// Incarnation of the sending process.
     pub incarnation: Incarnation,
-    /// The generation in force at the sender.
+    /// Configuration generation that is active at the sender.
     pub generation: Generation,
 }
 
 /// The first message on a stream.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Ask {
-    /// Who asks.
+    /// Sender of the request.
     pub from: Sender,
-    /// What it asks.
+    /// Body of the request.
     pub body: AskBody,
 }
 
-/// What is asked.
+/// Body of an [`Ask`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum AskBody {
-    /// An entry asks an agent to run a request.
+    /// Sent by an entry to an agent: run a request.
     Run(RunAsk),
-    /// An entry asks an agent what became of a request, or to keep it from starting.
+    /// Sent by an entry to an agent: query the outcome of a request, or prevent it from starting.
     Void(VoidAsk),
-    /// A process asks an agent for weights or for what it has.
+    /// Sent to an agent: read weights, or query which weights it holds.
     Weights(WeightsAsk),
-    /// Heartbeats, probes and membership deltas.
+    /// Heartbeats, probes and membership syncs.
     Members(MembersAsk),
-    /// A process asks for configuration, or pushes it.
+    /// Pulls or pushes configuration.
     Spread(SpreadAsk),
-    /// An entry that cannot reach the platform asks another to pass a call on.
+    /// Sent by an entry that cannot reach the platform: forward a call to it.
     Relay(RelayAsk),
-    /// An entry tells another that a request was running when its endpoint crashed.
+    /// Sent between entries: a request was running when its endpoint crashed.
     Suspect(Crash),
 }
 
-/// One answering message.
+/// One message in answer to an [`Ask`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Reply {
-    /// The generation in force at the answering process.
+    /// Configuration generation that is active at the answering process.
     pub generation: Generation,
-    /// What it answers.
+    /// Body of the answer.
     pub body: ReplyBody,
 }
 
-/// What is answered.
+/// Body of a [`Reply`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ReplyBody {
-    /// Part of an answer to [`AskBody::Run`].
+    /// One frame of the answer to [`AskBody::Run`].
     Run(RunFrame),
     /// Answer to [`AskBody::Void`].
     Void(VoidReply),
@@ -98,12 +98,12 @@
     /// Answer to [`AskBody::Relay`].
     Relay(RelayReply),
     /// Answer to [`AskBody::Suspect`].
-    Noted,
-    /// The ask is refused; nothing was done.
+    Ack,
+    /// The request was refused and had no effect.
     Refused(Code),
 }
 
-/// Encodes a message with its length in front.
+/// Encodes a message with its length prefix.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut buf = vec![0; LEN_BYTES];
     buf = postcard::to_extend(message, buf).expect("messages always encode");
@@ -112,13 +112,13 @@
     buf
 }
 
-/// Reads the length in front of a message, bounded by [`MAX_MESSAGE_LEN`].
+/// Decodes a length prefix. A length over [`MAX_MESSAGE_LEN`] is an error.
 pub fn scan_len(prefix: [u8; LEN_BYTES]) -> Result<usize> {
     let len = u32::from_be_bytes(prefix) as usize;
     if len > MAX_MESSAGE_LEN { Err(Code::BadMessage) } else { Ok(len) }
 }
 
-/// Decodes a message without its length.
+/// Decodes a message without its length prefix.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T> {
     postcard::from_bytes(bytes).map_err(|_| Code::BadMessage)
 }
--- a/core/tests/base/arena.rs
+++ b/core/tests/base/arena.rs
@@ -1,9 +1,9 @@
-//! Arenas and their keys.
+//! Tests of arena keys.
 
 use mastichaven_core::Arena;
 
 #[test]
-fn get_after_slot_reuse_finds_nothing() {
+fn get_with_key_of_reused_slot_is_none() {
     let mut arena = Arena::new();
     let old = arena.insert("a");
     assert_eq!(arena.remove(old), Some("a"));
--- a/core/tests/base/manifest.rs
+++ b/core/tests/base/manifest.rs
@@ -1,10 +1,10 @@
-//! Manifests and their digests.
+//! Tests of manifest encoding.
 
 use mastichaven_core::Code;
 use mastichaven_core::Manifest;
 
 #[test]
-fn decode_reads_what_encode_wrote() {
+fn decode_of_encoded_manifest_round_trips() {
     let manifest = Manifest::cut(&[7; 10], 4);
     assert_eq!(manifest.chunks.len(), 3);
     assert_eq!(manifest.len(), 10);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn decode_of_other_bytes_is_refused() {
+fn decode_with_digest_mismatch_fails() {
     let manifest = Manifest::cut(&[7; 10], 4);
     let mut bytes = manifest.encode();
     bytes[3] ^= 1;
--- a/core/tests/base/time.rs
+++ b/core/tests/base/time.rs
@@ -1,11 +1,11 @@
-//! Instants and spans.
+//! Tests of instants.
 
 use std::time::Duration;
 
 use mastichaven_core::Time;
 
 #[test]
-fn since_later_is_zero() {
+fn since_later_instant_is_zero() {
     assert_eq!(Time::from_millis(1).since(Time::from_millis(2)), Duration::ZERO);
 }
 
--- a/core/tests/base/wire.rs
+++ b/core/tests/base/wire.rs
@@ -1,4 +1,4 @@
-//! Framing of messages.
+//! Tests of message framing.
 
 use mastichaven_core::Code;
 use mastichaven_core::ids::Generation;
@@ -10,7 +10,7 @@
 use mastichaven_core::wire::scan_len;
 
 #[test]
-fn decode_reads_what_encode_wrote() {
+fn decode_of_encoded_reply_round_trips() {
     let reply = Reply { generation: Generation(7), body: ReplyBody::Refused(Code::EndpointFull) };
     let buf = encode(&reply);
     let len = scan_len([buf[0], buf[1], buf[2], buf[3]]).unwrap();
@@ -19,6 +19,6 @@
 }
 
 #[test]
-fn scan_len_over_limit_is_refused() {
+fn scan_len_over_limit_fails() {
     assert_eq!(scan_len([0xff; LEN_BYTES]), Err(Code::BadMessage));
 }
--- a/core/tests/control/main.rs
+++ b/core/tests/control/main.rs
@@ -1,4 +1,4 @@
-//! Tests of configuration, spreading, membership and leases.
+//! Tests of configuration files, generations and leases.
 
 mod folder;
 mod generation;
--- a/core/tests/control/store.rs
+++ b/core/tests/control/store.rs
@@ -1,4 +1,4 @@
-//! The platform's object API in memory.
+//! In-memory implementation of the platform's object API.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -23,12 +23,12 @@
     down: bool,
 }
 
-/// Objects in memory; can be down and can lose the answers of writes.
+/// Object store that can be down and can lose the answers of writes.
 #[derive(Default)]
 pub struct MemoryStore(Mutex<State>);
 
 impl MemoryStore {
-    /// The next `count` writes take effect and their answers are lost.
+    /// Lets the next `count` successful writes take effect but fail with [`PlatformError::Unknown`].
     pub fn lose_answers(&self, count: u32) {
         self.0.lock().unwrap().lose_answers = count;
     }
@@ -52,12 +52,12 @@
         if state.down {
             return Err(PlatformError::Down);
         }
-        let present = state.objects.get(key).map(|object| object.revision);
+        let current = state.objects.get(key).map(|object| object.revision);
         let expected = match expect {
             Expect::Absent => None,
             Expect::At(revision) => Some(revision),
         };
-        if present != expected {
+        if current != expected {
             return Err(PlatformError::Conflict);
         }
         state.revision += 1;
@@ -77,8 +77,8 @@
 
     fn list(&self, prefix: &str) -> Result<Vec<(SmolStr, Revision)>> {
         let state = self.0.lock().unwrap();
-        let below = state.objects.iter().filter(|(key, _)| key.starts_with(prefix));
-        Ok(below.map(|(key, object)| (SmolStr::new(key), object.revision)).collect())
+        let with_prefix = state.objects.iter().filter(|(key, _)| key.starts_with(prefix));
+        Ok(with_prefix.map(|(key, object)| (SmolStr::new(key), object.revision)).collect())
     }
 
     fn watch(&self, _prefix: &str, after: Revision, _wait: Duration) -> Result<Changes> {
--- a/node/src/entry/asks.rs
+++ b/node/src/entry/asks.rs
@@ -29,7 +29,7 @@
         AskBody::Suspect(crash) => {
             shared.suspects.told(shared, crash);
             let generation = shared.documents.generation();
-            let _ = incoming.replies.send(Reply { generation, body: ReplyBody::Noted });
+            let _ = incoming.replies.send(Reply { generation, body: ReplyBody::Ack });
         }
         AskBody::Run(_) | AskBody::Void(_) | AskBody::Weights(_) => {
             let generation = shared.documents.generation();
