--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -239,7 +239,7 @@
         if delta.to <= self.list.generation {
             return ApplyOutcome::Stale;
         }
-        let Ok(list) = self.list.apply(delta) else {
+        let Ok(list) = self.list.apply_delta(delta) else {
             return ApplyOutcome::Gap;
         };
         let given: HashMap<Digest, &Bytes> = parts.iter().map(|p| (Digest::of(p), p)).collect();
@@ -282,7 +282,7 @@
         if self.list.generation <= generation {
             return None;
         }
-        let delta = self.list.delta(generation);
+        let delta = self.list.delta_since(generation);
         let mut parts = Vec::new();
         let mut len = 0;
         for file in &delta.files {
@@ -336,7 +336,8 @@
     parts: &'a [Option<Bytes>],
 ) -> impl Iterator<Item = MissingPart> + 'a {
     let absent = file.parts.iter().zip(parts).filter(|(_, bytes)| bytes.is_none());
-    absent.map(|(digest, _)| MissingPart { digest: *digest, key: part_key(file.changed, *digest) })
+    absent
+        .map(|(digest, _)| MissingPart { digest: *digest, key: part_key(file.changed_in, *digest) })
 }
 
 /// Platform key of a part. The key contains the generation, so that the part can be deleted once
