--- a/core/src/direct/endpoint.rs
+++ b/core/src/direct/endpoint.rs
@@ -322,7 +322,7 @@
         is_fresh && weights.any(|(name, held)| name == model && *held == version)
     }
 
-    /// Time until the endpoint serves; `None` if it serves already or no fresh report tells.
+    /// Time until the endpoint serves; `None` if it serves already or no fresh report gives the time.
     pub(super) fn ready_in(&self, now: Time) -> Option<Duration> {
         let load = self.load.as_ref().filter(|load| load.is_fresh(now))?;
         Some(load.ready_at?.since(now))
@@ -422,7 +422,7 @@
         self.backoff_until = now + MISDIRECTED_BACKOFF;
     }
 
-    /// The known state as JSON, for the dump of an entry.
+    /// The present state as JSON, for the dump of an entry.
     pub(super) fn dump(&self, now: Time) -> serde_json::Value {
         let load = self.load.as_ref();
         serde_json::json!({
--- a/core/src/direct/endpoint_table.rs
+++ b/core/src/direct/endpoint_table.rs
@@ -76,7 +76,7 @@
 /// Result of choosing an endpoint.
 pub type Result<T> = std::result::Result<T, Unavailable>;
 
-/// The endpoints known to an entry, with their load and failures.
+/// The endpoints that an entry may send to, with their load and failures.
 #[derive(Debug)]
 pub struct EndpointTable {
     host: HostName,
--- a/core/src/direct/shares.rs
+++ b/core/src/direct/shares.rs
@@ -1,8 +1,8 @@
 //! One entry's share of limits that hold for all entries together.
 //!
 //! Entries do not coordinate before each request. Each keeps to a share computed from the number of
-//! entries that it has been told of, and the shares add up to less than the limit as long as every
-//! entry counts at least half of them.
+//! entries that agents have counted, and the shares add up to less than the limit as long as no
+//! entry uses a count of less than half of them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
