--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -5,8 +5,8 @@
 //! full one refuses the ask as busy. What blocks, the calls to the platform, is the thread of
 //! `platform_watch.rs`.
 //!
-//! News goes down the tree of the zone ([`ring::tree_order`]): whoever learns of a generation or a plan
-//! passes it to its children, and to the root if it did not come down the tree. A child that does
+//! News goes down the tree of the zone ([`ring::tree_order`]): whoever learns of a generation or a
+//! plan passes it to its children, and to the root if it did not come down the tree. A child that does
 //! not answer is passed over, and its children are told instead. What that misses, the generation
 //! on every message heals: who hears of a higher one asks for it.
 
