--- a/core/src/direct/subscribers.rs
+++ b/core/src/direct/subscribers.rs
@@ -72,7 +72,7 @@
 }
 
 impl Subscribers {
-    /// Adds an entry or renews its subscription. Ignores new entries once there are [`MAX_SUBSCRIBERS`].
+    /// Adds an entry or renews its subscription. Ignores new entries beyond the maximum number.
     pub fn renew(&mut self, from: SocketAddr, subscriber: Subscriber) {
         self.first_request_at.get_or_insert(subscriber.received_at);
         self.by_address
