--- /dev/null
+++ b/core/src/direct/endpoint_table.rs
@@ -0,0 +1,315 @@
+//! The endpoints that an entry may send requests to, and the choice among them.
+//!
+//! The table is updated from three sources: the platform's list (which endpoints exist and which
+//! are draining), load reports of agents (running requests and loaded weights), and the outcomes of
+//! this entry's own requests.
+
+mod selection;
+mod updates;
+
+use std::collections::HashMap;
+use std::collections::HashSet;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use smol_str::SmolStr;
+
+use super::endpoint::Endpoint;
+use super::endpoint::EndpointKey;
+use super::endpoint::EndpointRecord;
+use super::endpoint::LoadReport;
+use super::endpoint::ReportTiming;
+use super::shares::EntryCount;
+use crate::arena::Arena;
+use crate::ids::HostName;
+use crate::ids::RegionName;
+use crate::ids::Revision;
+use crate::ids::ServiceName;
+use crate::ids::ZoneName;
+use crate::time::Time;
+
+/// Factor by which the credits of all entries together exceed the free places in a report. Entries
+/// that saw the same report each take a share, and most have nothing to send just then. With a
+/// lower factor, requests would go to other regions while places stay free.
+const CREDIT_OVERCOMMIT: f64 = 3.0;
+
+/// How an engine relates to an entry.
+#[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
+pub enum Reach {
+    /// In the entry's region.
+    Near,
+    /// In another region, and in the subset that the entry sends requests to.
+    Far,
+    /// In another region and outside that subset, so left to other entries.
+    OutsideSubset,
+}
+
+/// What a request requires of an endpoint.
+#[derive(Clone, Copy, Debug)]
+pub struct Requirements<'a> {
+    /// Service that the request is for.
+    pub service: &'a ServiceName,
+    /// Model and the lowest version of it that may answer; `None` if any endpoint of the service
+    /// may.
+    pub model: Option<(&'a str, u64)>,
+    /// Regions that may serve the request, as two lists that both apply; an empty list allows all.
+    pub regions: [&'a [RegionName]; 2],
+    /// Endpoints that the request was already sent to.
+    pub tried: &'a [EndpointKey],
+    /// Requests per second that a cold endpoint of the service can handle.
+    pub cold_per_second: f64,
+    /// Whether the request can no longer be answered in time, and yields to those that can.
+    pub is_late: bool,
+}
+
+/// Why no endpoint can be chosen.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum Unavailable {
+    /// No endpoint meets the requirements.
+    NoEndpoint,
+    /// All endpoints that meet them are full.
+    Full,
+    /// Those with free places are cold, and their request rate is used up.
+    Warming,
+}
+
+/// Result of choosing an endpoint.
+pub type Result<T> = std::result::Result<T, Unavailable>;
+
+/// The endpoints that an entry may send to, with their load and failures.
+#[derive(Debug)]
+pub struct EndpointTable {
+    host: HostName,
+    zone: ZoneName,
+    region: RegionName,
+    regions: HashMap<ZoneName, RegionName>,
+    endpoints: Arena<Endpoint>,
+    by_id: HashMap<SmolStr, EndpointKey>,
+    by_service: HashMap<ServiceName, Vec<EndpointKey>>,
+    /// An address has several endpoints while the list shows a crashed process beside its
+    /// successor.
+    by_address: HashMap<SocketAddr, Vec<EndpointKey>>,
+    /// Store revision up to which all changes of endpoints are applied.
+    as_of: Revision,
+    evacuated: HashSet<ZoneName>,
+    /// Store revision up to which all changes of `evacuated` are applied.
+    evacuated_as_of: Revision,
+    entries: u32,
+    entry_count: EntryCount,
+}
+
+impl EndpointTable {
+    /// An empty table for the entry on `host` in `zone`; `regions` maps each zone to its region.
+    pub fn new(
+        host: HostName,
+        zone: ZoneName,
+        regions: HashMap<ZoneName, RegionName>,
+    ) -> EndpointTable {
+        let region = regions.get(&zone).cloned().unwrap_or_default();
+        EndpointTable {
+            host,
+            zone,
+            region,
+            regions,
+            endpoints: Arena::new(),
+            by_id: HashMap::new(),
+            by_service: HashMap::new(),
+            by_address: HashMap::new(),
+            as_of: Revision::default(),
+            evacuated: HashSet::new(),
+            evacuated_as_of: Revision::default(),
+            entries: 1,
+            entry_count: EntryCount::default(),
+        }
+    }
+
+    /// Ids of all endpoints, in no particular order.
+    pub fn ids(&self) -> impl Iterator<Item = &SmolStr> {
+        self.by_id.keys()
+    }
+
+    /// Applies the report of an agent on the endpoint at `address`. It answers a request sent at
+    /// `requested_at` and took `round_trip` to come. A report of a later process shows that the
+    /// listed one is gone. `draw` from 0 to 1 decides whether this entry gets a place where there
+    /// are too few to share.
+    pub fn apply_report(
+        &mut self,
+        address: SocketAddr,
+        report: &LoadReport,
+        requested_at: Time,
+        round_trip: Duration,
+        draw: f64,
+        now: Time,
+    ) {
+        // All entries see a free place at the same moment. If each of them used it, an endpoint
+        // that was just full would get a queue of as many requests as there are entries.
+        let share = (CREDIT_OVERCOMMIT / f64::from(report.readers.max(1))).min(1.0);
+        let keys = self.by_address.get(&address).map(Vec::as_slice).unwrap_or_default();
+        for key in keys {
+            let Some(endpoint) = self.endpoints.get_mut(*key) else {
+                continue;
+            };
+            endpoint.observe_process(report.started_ms);
+            if !endpoint.is_other_process(report.started_ms) {
+                let is_far = *endpoint.region() != self.region;
+                let timing = ReportTiming { received_at: now, requested_at, round_trip, is_far };
+                endpoint.apply_report(report, timing, share, draw);
+            }
+        }
+    }
+
+    /// Sets the number of entries that share limits until an agent has counted them.
+    pub fn set_entries(&mut self, entries: u32) {
+        self.entries = entries.max(1);
+    }
+
+    /// Records an agent's count of the entries that contact it. Only a count with
+    /// `is_count_complete` includes all of them; others serve until the first such count.
+    pub fn record_entry_count(&mut self, entries: u32, is_count_complete: bool, now: Time) {
+        if is_count_complete {
+            self.entry_count.record_count(entries, now);
+        }
+        self.entries = self.entry_count.recent_max().unwrap_or(entries).max(1);
+    }
+
+    /// Highest recent complete count of the entries; `None` before the first one.
+    pub fn counted_entries(&self) -> Option<u32> {
+        self.entry_count.recent_max()
+    }
+
+    /// Number of entries that share limits, at least 1.
+    pub fn entries(&self) -> u32 {
+        self.entries
+    }
+
+    /// All engines, with how each relates to this entry.
+    pub fn engines(&self) -> impl Iterator<Item = (&EndpointRecord, Reach)> + '_ {
+        let engines = self.endpoints.iter().filter(|(_, endpoint)| endpoint.record().is_engine);
+        engines.map(|(_, endpoint)| {
+            let reach = if *endpoint.region() == self.region {
+                Reach::Near
+            } else if endpoint.is_in_subset() {
+                Reach::Far
+            } else {
+                Reach::OutsideSubset
+            };
+            (endpoint.record(), reach)
+        })
+    }
+
+    /// Records of the engines of a service.
+    pub fn engines_of(&self, service: &ServiceName) -> impl Iterator<Item = &EndpointRecord> + '_ {
+        let keys = self.by_service.get(service).map(Vec::as_slice).unwrap_or_default();
+        let all = keys.iter().filter_map(|key| self.get(*key));
+        all.filter(|record| record.is_engine)
+    }
+
+    /// Addresses of the endpoints whose fresh load reports show a version of a model.
+    pub fn holders(&self, model: &str, version: u64, now: Time) -> Vec<SocketAddr> {
+        let holders = self
+            .endpoints
+            .iter()
+            .filter(|(_, endpoint)| endpoint.holds_version(model, version, now));
+        holders.map(|(_, endpoint)| endpoint.record().address).collect()
+    }
+
+    /// Store revision of an endpoint's record; `None` if the endpoint is unknown.
+    pub fn revision_of(&self, id: &str) -> Option<Revision> {
+        let endpoint = self.endpoints.get(*self.by_id.get(id)?)?;
+        Some(endpoint.record().revision)
+    }
+
+    /// Whether the endpoint at `address` is in this entry's region; false if there is none.
+    pub fn is_in_own_region(&self, address: SocketAddr) -> bool {
+        let key = self.by_address.get(&address).and_then(|keys| keys.first());
+        key.and_then(|key| self.endpoints.get(*key))
+            .is_some_and(|endpoint| *endpoint.region() == self.region)
+    }
+
+    /// Whether an endpoint listens at `address`.
+    pub fn has_address(&self, address: SocketAddr) -> bool {
+        self.by_address.contains_key(&address)
+    }
+
+    /// Records of all endpoints, with the cold time that remains at `now`.
+    pub fn records(&self, now: Time) -> impl Iterator<Item = EndpointRecord> + '_ {
+        self.endpoints.iter().map(move |(_, endpoint)| endpoint.current_record(now))
+    }
+
+    /// Zones that are out of service, whose endpoints are sent no requests.
+    pub fn evacuated(&self) -> impl Iterator<Item = &ZoneName> {
+        self.evacuated.iter()
+    }
+
+    /// Latest record of an endpoint; `None` once it has been removed.
+    pub fn get(&self, key: EndpointKey) -> Option<&EndpointRecord> {
+        self.endpoints.get(key).map(Endpoint::record)
+    }
+
+    /// Whether requests may still be sent to an endpoint: it is listed and not draining, and its
+    /// zone is in service.
+    pub fn is_routable(&self, key: EndpointKey) -> bool {
+        let record = self.get(key);
+        record.is_some_and(|record| !record.is_draining && !self.evacuated.contains(&record.zone))
+    }
+
+    /// State of all endpoints as JSON, for the dump of an entry.
+    pub fn dump(&self, now: Time) -> Vec<serde_json::Value> {
+        self.endpoints.iter().map(|(_, endpoint)| endpoint.dump(now)).collect()
+    }
+
+    /// Number of endpoints in the table.
+    pub fn len(&self) -> usize {
+        self.by_id.len()
+    }
+
+    /// Whether the table has no endpoints.
+    pub fn is_empty(&self) -> bool {
+        self.by_id.is_empty()
+    }
+
+    /// Records that a request is sent to the endpoint.
+    pub fn record_sent(&mut self, key: EndpointKey, now: Time) {
+        if let Some(endpoint) = self.endpoints.get_mut(key) {
+            endpoint.record_sent(now);
+        }
+    }
+
+    /// Records that a request has left the endpoint.
+    pub fn record_finished(&mut self, key: EndpointKey) {
+        if let Some(endpoint) = self.endpoints.get_mut(key) {
+            endpoint.record_finished();
+        }
+    }
+
+    /// Records a good answer of the endpoint, which ends an ejection.
+    pub fn record_success(&mut self, key: EndpointKey) {
+        if let Some(endpoint) = self.endpoints.get_mut(key) {
+            endpoint.record_success();
+        }
+    }
+
+    /// Records a failed request, with an error from the endpoint itself or, if `is_lost`, without
+    /// an answer. Several in a row eject the endpoint, unless no other one is left.
+    pub fn record_failure(&mut self, key: EndpointKey, is_lost: bool, now: Time) {
+        if let Some(endpoint) = self.endpoints.get_mut(key) {
+            endpoint.record_failure(is_lost, now);
+        }
+    }
+
+    /// Records that the endpoint refused a request as full. It backs off for a while, since its
+    /// reports had shown free places.
+    pub fn record_refusal(&mut self, key: EndpointKey, now: Time) {
+        if let Some(endpoint) = self.endpoints.get_mut(key) {
+            endpoint.record_refusal(now);
+        }
+    }
+
+    /// Records an answer that a request was meant for another process or for other weights. The
+    /// endpoint backs off, since its record is out of date.
+    pub fn record_misdirected(&mut self, key: EndpointKey, now: Time) {
+        if let Some(endpoint) = self.endpoints.get_mut(key) {
+            endpoint.record_misdirected(now);
+        }
+    }
+}
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,17 +1,20 @@
-//! The decisions of mastichaven: routing, admission, retries, claims, weights, placement,
-//! configuration, membership. No sockets, files, timers, threads, clocks or ambient randomness:
-//! the present time and the random source are arguments.
+//! Decision logic of mastichaven: routing, admission, retries, claims, weights, placement,
+//! configuration and membership.
+//!
+//! This crate uses no sockets, files, timers, threads, clocks or global random number generators.
+//! The current time and the random number generator are arguments.
 //!
 //! ```
 //! use mastichaven_core::Manifest;
 //!
-//! let manifest = Manifest::cut(b"the weights of a small model", 8);
+//! let manifest = Manifest::from_weights(b"the weights of a small model", 8);
 //! let bytes = manifest.encode();
 //! assert_eq!(Manifest::decode(&bytes, manifest.digest()), Ok(manifest));
 //! ```
 
 pub mod admission;
 pub mod arena;
+pub mod attempts;
 pub mod check;
 pub mod claim;
 pub mod code;
@@ -32,7 +35,6 @@
 pub mod platform;
 pub mod quarantine;
 pub mod queue;
-pub mod record;
 pub mod relay;
 pub mod reserve;
 pub mod retry;
--- a/core/src/placement.rs
+++ b/core/src/placement.rs
@@ -1,8 +1,9 @@
-//! Placement: from the last plan, the configuration and the live hosts to the next plan.
+//! Placement: computes the next plan of a model from the last plan, the configuration and the live
+//! hosts.
 //!
-//! A plan changes as little as possible: hosts that may stay do, and each step of a rollout orders
-//! only a part of the replicas to switch. What a step may take away is counted against replicas
-//! that are ready now, so that the last ready replica of the serving version stays.
+//! A plan changes as little as possible: hosts stay where they may, and each step of a rollout
+//! switches only some of the replicas. Limits on what a step may remove count only replicas that
+//! are ready now, so that the last ready replica of the serving version stays.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,79 +19,80 @@
 use crate::swarm::topology::key_of;
 use crate::time::Time;
 
-/// Of the replicas of a model, this part switches to a new version at once.
-const BATCH_PART: usize = 4;
+/// Divisor of the number of replicas that gives the size of a batch in rollout and scaling.
+const BATCH_DIVISOR: usize = 4;
 
-/// Candidates named in a plan at most.
+/// Maximum number of candidates in a plan.
 const MAX_CANDIDATES: usize = 256;
 
-/// Zones may differ by this many replicas before one is moved.
-const SPREAD_SLACK: usize = 2;
+/// Difference in replicas between two zones at which one replica is moved.
+const ZONE_REBALANCE_SKEW: usize = 2;
 
-/// Load, as a share of the admitted work, above which replicas are added.
-pub const HIGH_LOAD: f64 = 0.8;
+/// Load, as a share of the admitted work, from which replicas are added.
+pub const SCALE_UP_LOAD: f64 = 0.8;
 
-/// Load below which replicas are taken away again. The gap to [`HIGH_LOAD`] and the longer wait
-/// keep the count from swinging: fewer replicas raise the load of the rest.
-pub const LOW_LOAD: f64 = 0.3;
+/// Load up to which replicas are removed. The gap to [`SCALE_UP_LOAD`] and the longer delay prevent
+/// oscillation, because removing a replica raises the load of the others.
+pub const SCALE_DOWN_LOAD: f64 = 0.3;
 
 /// How long the load must be high before replicas are added.
-pub const HIGH_FOR: Duration = Duration::from_secs(2);
+pub const SCALE_UP_DELAY: Duration = Duration::from_secs(2);
 
-/// How long the load must be low before one replica is taken away.
-pub const LOW_FOR: Duration = Duration::from_secs(60);
+/// How long the load must be low before a replica is removed.
+pub const SCALE_DOWN_DELAY: Duration = Duration::from_secs(60);
 
-/// A live engine host that may hold a replica: its zone is in and allowed, it is not leaving.
+/// A live host with an engine that may hold a replica: its availability zone is in service and
+/// allowed, and it is not leaving.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Seat {
-    /// The host.
+pub struct EngineHost {
+    /// Name of the host.
     pub host: HostName,
-    /// Its zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Memory of its engine, in MiB; 0 when it does not say.
+    /// Memory of its engine in MiB; 0 if unknown.
     pub memory_mib: u64,
-    /// The version its engine answers from now, if it is of this model.
+    /// The version of this model that its engine answers from now, if any.
     pub ready: Option<Digest>,
 }
 
-/// What a plan is made for.
+/// Inputs of a plan besides the last plan and the live hosts.
 #[derive(Clone, Debug)]
 pub struct Goal<'a> {
-    /// The model.
+    /// Name of the model.
     pub model: &'a ModelName,
     /// The configured version.
     pub version: Digest,
-    /// Memory one replica needs, in MiB.
+    /// Memory that one replica needs, in MiB.
     pub memory_mib: u64,
-    /// Where it may run.
+    /// Zones, pins and exclusions of the model.
     pub placement: &'a Placement,
-    /// Replicas wanted now, within the placement's bounds.
+    /// Target number of replicas, within the bounds of the placement.
     pub replicas: usize,
     /// Hosts whose engines did not load the configured version in time.
     pub failed: &'a BTreeSet<HostName>,
-    /// Hosts of other models' plans.
-    pub taken: &'a BTreeSet<HostName>,
+    /// Hosts in the plans of other models.
+    pub reserved: &'a BTreeSet<HostName>,
 }
 
 impl Goal<'_> {
-    fn allows(&self, seat: &Seat) -> bool {
+    fn allows(&self, engine: &EngineHost) -> bool {
         let placement = self.placement;
-        let zone = placement.zones.is_empty() || placement.zones.contains(&seat.zone);
-        let memory = seat.memory_mib == 0 || seat.memory_mib >= self.memory_mib;
+        let zone = placement.zones.is_empty() || placement.zones.contains(&engine.zone);
+        let memory = engine.memory_mib == 0 || engine.memory_mib >= self.memory_mib;
         zone && memory
-            && !placement.exclude.contains(&seat.host)
-            && !self.taken.contains(&seat.host)
+            && !placement.exclude.contains(&engine.host)
+            && !self.reserved.contains(&engine.host)
     }
 
-    /// Order in which spare hosts of one zone are taken: the same at each planner.
+    /// Order in which unused hosts of a zone are chosen, the same for every planner.
     fn score(&self, host: &HostName) -> u64 {
         key_of(Digest::of(format!("{host}/{}", self.model).as_bytes()))
     }
 }
 
-/// The next plan. `None` when no host may hold the model.
-pub fn next_plan(old: Option<&Plan>, goal: &Goal, seats: &[Seat]) -> Option<Plan> {
-    let usable: Vec<&Seat> = seats.iter().filter(|seat| goal.allows(seat)).collect();
+/// Computes the next plan. `None` if no host may hold the model.
+pub fn next_plan(old: Option<&Plan>, goal: &Goal, engines: &[EngineHost]) -> Option<Plan> {
+    let usable: Vec<&EngineHost> = engines.iter().filter(|engine| goal.allows(engine)).collect();
     let chosen = choose_hosts(old, goal, &usable);
     if chosen.is_empty() {
         return None;
@@ -105,35 +107,43 @@
     })
 }
 
-/// Hosts of the next plan: those of the old one that may stay, pins, then the emptiest zones.
-fn choose_hosts<'a>(old: Option<&Plan>, goal: &Goal, usable: &[&'a Seat]) -> Vec<&'a Seat> {
-    let pinned = |seat: &Seat| goal.placement.pin.contains(&seat.host);
-    let was = |seat: &Seat| old.is_some_and(|plan| plan.version_for(&seat.host).is_some());
-    let mut chosen: Vec<&Seat> =
-        usable.iter().copied().filter(|seat| was(seat) || pinned(seat)).collect();
-    let wanted = goal.replicas.max(chosen.iter().filter(|seat| pinned(seat)).count());
+/// Hosts of the next plan: those of the old one that may stay, pinned hosts, then hosts of the
+/// zones with fewest replicas.
+fn choose_hosts<'a>(
+    old: Option<&Plan>,
+    goal: &Goal,
+    usable: &[&'a EngineHost],
+) -> Vec<&'a EngineHost> {
+    let pinned = |engine: &EngineHost| goal.placement.pin.contains(&engine.host);
+    let in_old_plan =
+        |engine: &EngineHost| old.is_some_and(|plan| plan.version_for(&engine.host).is_some());
+    let mut chosen: Vec<&EngineHost> =
+        usable.iter().copied().filter(|engine| in_old_plan(engine) || pinned(engine)).collect();
+    let wanted = goal.replicas.max(chosen.iter().filter(|engine| pinned(engine)).count());
     while chosen.len() < wanted {
-        let Some(seat) = emptiest(goal, usable, &chosen) else {
+        let Some(engine) = best_spare(goal, usable, &chosen) else {
             break;
         };
-        chosen.push(seat);
+        chosen.push(engine);
     }
     if chosen.len() == wanted
-        && let Some(seat) = emptiest(goal, usable, &chosen)
+        && let Some(engine) = best_spare(goal, usable, &chosen)
     {
-        // One more where a whole zone is short; the fullest zone gives one up below.
+        // One more in a zone that is short of replicas; the loop below removes one from the fullest
+        // zone.
         let counts = count_zones(&chosen);
-        let most = counts.values().copied().max().unwrap_or(0);
-        if counts.get(&seat.zone).copied().unwrap_or(0) + SPREAD_SLACK <= most {
-            chosen.push(seat);
+        let highest = counts.values().copied().max().unwrap_or(0);
+        if counts.get(&engine.zone).copied().unwrap_or(0) + ZONE_REBALANCE_SKEW <= highest {
+            chosen.push(engine);
         }
     }
     while chosen.len() > wanted {
         let counts = count_zones(&chosen);
-        let place =
-            chosen.iter().enumerate().filter(|(_, seat)| !pinned(seat)).max_by_key(|(_, seat)| {
-                (counts[&seat.zone], seat.ready != Some(goal.version), goal.score(&seat.host))
-            });
+        let place = chosen.iter().enumerate().filter(|(_, engine)| !pinned(engine)).max_by_key(
+            |(_, engine)| {
+                (counts[&engine.zone], engine.ready != Some(goal.version), goal.score(&engine.host))
+            },
+        );
         let Some((n, _)) = place else {
             break;
         };
@@ -143,27 +153,33 @@
     chosen
 }
 
-fn count_zones(chosen: &[&Seat]) -> BTreeMap<ZoneName, usize> {
+fn count_zones(chosen: &[&EngineHost]) -> BTreeMap<ZoneName, usize> {
     let mut counts = BTreeMap::new();
-    for seat in chosen {
-        *counts.entry(seat.zone.clone()).or_default() += 1;
+    for engine in chosen {
+        *counts.entry(engine.zone.clone()).or_default() += 1;
     }
     counts
 }
 
-/// The best spare host: of the zone with fewest replicas, and not one that failed to load.
-fn emptiest<'a>(goal: &Goal, usable: &[&'a Seat], chosen: &[&Seat]) -> Option<&'a Seat> {
+/// The best unused host: in the zone with fewest replicas, and not one that failed to load.
+fn best_spare<'a>(
+    goal: &Goal,
+    usable: &[&'a EngineHost],
+    chosen: &[&EngineHost],
+) -> Option<&'a EngineHost> {
     let counts = count_zones(chosen);
-    let spare = usable.iter().copied().filter(|seat| {
-        !goal.failed.contains(&seat.host) && !chosen.iter().any(|c| c.host == seat.host)
+    let spare = usable.iter().copied().filter(|engine| {
+        !goal.failed.contains(&engine.host) && !chosen.iter().any(|c| c.host == engine.host)
     });
-    spare.min_by_key(|seat| (counts.get(&seat.zone).copied().unwrap_or(0), goal.score(&seat.host)))
+    spare.min_by_key(|engine| {
+        (counts.get(&engine.zone).copied().unwrap_or(0), goal.score(&engine.host))
+    })
 }
 
-fn candidates(goal: &Goal, usable: &[&Seat], replicas: &[Replica]) -> Vec<HostName> {
+fn candidates(goal: &Goal, usable: &[&EngineHost], replicas: &[Replica]) -> Vec<HostName> {
     let mut spare: Vec<HostName> = usable
         .iter()
-        .map(|seat| &seat.host)
+        .map(|engine| &engine.host)
         .filter(|host| !replicas.iter().any(|replica| replica.host == **host))
         .cloned()
         .collect();
@@ -172,56 +188,58 @@
     spare
 }
 
-/// Which version answers, which is rolled out, and what each host is to hold.
+/// The serving version, the version that is rolled out, and the version of each host.
 fn choose_versions(
     old: Option<&Plan>,
     goal: &Goal,
-    usable: &[&Seat],
-    chosen: &[&Seat],
+    usable: &[&EngineHost],
+    chosen: &[&EngineHost],
 ) -> (Digest, Option<Digest>, Vec<Replica>) {
     let target = goal.version;
     let all_at_target = || {
-        let replica = |seat: &&Seat| Replica { host: seat.host.clone(), version: target };
+        let replica = |engine: &&EngineHost| Replica { host: engine.host.clone(), version: target };
         (target, None, chosen.iter().map(replica).collect())
     };
     let ready = |version: Digest| chosen.iter().filter(move |s| s.ready == Some(version)).count();
     let serving = old.map_or(target, |plan| plan.serving);
-    let live_old = usable.iter().any(|seat| seat.ready == Some(serving));
+    let live_old = usable.iter().any(|engine| engine.ready == Some(serving));
     let enough = ready(target) >= chosen.len().div_ceil(2);
     if serving == target || enough || (!live_old && ready(target) > 0) {
         return all_at_target();
     }
     let mut replicas: Vec<Replica> = chosen
         .iter()
-        .map(|seat| {
-            let was = old.and_then(|plan| plan.version_for(&seat.host));
-            // A host new to the plan may still answer from an earlier turn; where the holders
-            // have died it can be the last that does.
-            let is_spare = was.is_none() && seat.ready != Some(serving);
-            let switched = was == Some(target) || is_spare || seat.ready == Some(target);
-            Replica { host: seat.host.clone(), version: if switched { target } else { serving } }
+        .map(|engine| {
+            let old_version = old.and_then(|plan| plan.version_for(&engine.host));
+            // A host that is new to the plan may still answer from the serving version of an
+            // earlier plan. If the other hosts died, it can be the only one that does.
+            let is_spare = old_version.is_none() && engine.ready != Some(serving);
+            let switched = old_version == Some(target) || is_spare || engine.ready == Some(target);
+            Replica { host: engine.host.clone(), version: if switched { target } else { serving } }
         })
         .collect();
-    flip_batch(goal, serving, chosen, &mut replicas);
+    switch_batch(goal, serving, chosen, &mut replicas);
     if replicas.iter().all(|replica| replica.version == serving) {
-        // Nobody may be taken: one more host loads the new version beside the last ready one.
-        if let Some(seat) = emptiest(goal, usable, chosen) {
-            replicas.push(Replica { host: seat.host.clone(), version: target });
+        // No replica may be switched: one more host loads the new version beside the last ready
+        // one.
+        if let Some(engine) = best_spare(goal, usable, chosen) {
+            replicas.push(Replica { host: engine.host.clone(), version: target });
             replicas.sort_by(|a, b| a.host.cmp(&b.host));
         }
     }
     (serving, Some(target), replicas)
 }
 
-/// Orders the next part of the replicas to switch, if the ones before have.
+/// Switches the next batch of replicas, once the previous batch is ready.
 ///
-/// Hosts that failed to load the new version count against the batch for good: a version that does
-/// not load stops after one batch instead of taking replica after replica out of service.
-fn flip_batch(goal: &Goal, serving: Digest, chosen: &[&Seat], replicas: &mut [Replica]) {
+/// Hosts that failed to load the new version keep counting against the batch: a rollout of a
+/// version that does not load stops after one batch and takes no further replicas out of service.
+fn switch_batch(goal: &Goal, serving: Digest, chosen: &[&EngineHost], replicas: &mut [Replica]) {
     let target = goal.version;
-    let batch = (chosen.len() / BATCH_PART).max(1);
-    let ready_of =
-        |host: &HostName| chosen.iter().find(|seat| seat.host == *host).and_then(|seat| seat.ready);
+    let batch = (chosen.len() / BATCH_DIVISOR).max(1);
+    let ready_of = |host: &HostName| {
+        chosen.iter().find(|engine| engine.host == *host).and_then(|engine| engine.ready)
+    };
     let mut waiting = replicas
         .iter()
         .filter(|r| r.version == target && ready_of(&r.host) != Some(target))
@@ -244,12 +262,12 @@
     }
 }
 
-/// The version a candidate loads by itself while no planner can be reached.
+/// The version that candidate `me` loads on its own while no planner is reachable.
 ///
-/// The replicas of a zone that are dead are matched in order with the zone's live candidates, so
-/// that each candidate comes to the same answer without asking the others. `is_dead` must mean
-/// silent for long, with the plan unchanged meanwhile: a planner that lives has replaced the host.
-pub fn stand_in(
+/// Each dead replica of a zone is matched in order with a live candidate of that zone, so that all
+/// candidates reach the same result without communication. `is_dead` must mean silent for long
+/// while the plan did not change: a live planner would have replaced the host.
+pub fn takeover_version(
     plan: &Plan,
     me: &HostName,
     in_my_zone: impl Fn(&HostName) -> bool,
@@ -266,29 +284,36 @@
     None
 }
 
-/// How many replicas a model gets, from how loaded those it has are.
+/// Number of replicas of a model as a function of their load, with hysteresis.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Scaler {
+pub struct Autoscaler {
     high_since: Option<Time>,
     low_since: Option<Time>,
 }
 
-impl Scaler {
-    /// The replicas wanted now, from `current` ones at `load`, the share of admitted work in use.
-    pub fn wanted(&mut self, current: usize, placement: &Placement, load: f64, now: Time) -> usize {
-        let least = placement.replicas as usize;
-        let most = placement.max_replicas.map_or(least, |most| (most as usize).max(least));
-        let current = current.clamp(least, most);
+impl Autoscaler {
+    /// The number of replicas to run, given `current` ones at `load`, the share of admitted work in
+    /// use.
+    pub fn target_replicas(
+        &mut self,
+        current: usize,
+        placement: &Placement,
+        load: f64,
+        now: Time,
+    ) -> usize {
+        let lower = placement.replicas as usize;
+        let upper = placement.max_replicas.map_or(lower, |upper| (upper as usize).max(lower));
+        let current = current.clamp(lower, upper);
         let since = |was: Option<Time>, holds: bool| holds.then(|| was.unwrap_or(now));
-        self.high_since = since(self.high_since, load >= HIGH_LOAD);
-        self.low_since = since(self.low_since, load <= LOW_LOAD);
-        if self.high_since.is_some_and(|at| now.passed(at, HIGH_FOR)) {
+        self.high_since = since(self.high_since, load >= SCALE_UP_LOAD);
+        self.low_since = since(self.low_since, load <= SCALE_DOWN_LOAD);
+        if self.high_since.is_some_and(|at| now.passed(at, SCALE_UP_DELAY)) {
             self.high_since = None;
-            return (current + current.div_ceil(BATCH_PART)).min(most);
+            return (current + current.div_ceil(BATCH_DIVISOR)).min(upper);
         }
-        if self.low_since.is_some_and(|at| now.passed(at, LOW_FOR)) {
+        if self.low_since.is_some_and(|at| now.passed(at, SCALE_DOWN_DELAY)) {
             self.low_since = None;
-            return current.saturating_sub(1).max(least);
+            return current.saturating_sub(1).max(lower);
         }
         current
     }
--- a/core/src/spread.rs
+++ b/core/src/spread.rs
@@ -1,8 +1,8 @@
-//! Spreading the accepted configuration and the plans from process to process.
+//! Distribution of the accepted configuration and the plans between processes.
 //!
-//! Everything here only rises: [`Docs::offer`] refuses a lower revision and [`Files::offer`] a
-//! lower generation, whoever sends it. Files are named by digest, so what a peer sends is checked
-//! before it is used, and a process fetches only the parts that it does not have.
+//! Revisions and generations only rise: [`Docs::insert_newer`] ignores a lower revision and
+//! [`Files::apply`] a lower generation, whoever sends it. Files are named by digest, so their
+//! content is verified before it is used, and a process fetches only the parts that it lacks.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -24,70 +24,71 @@
 use crate::ids::Digest;
 use crate::ids::Generation;
 
-/// Documents one message may carry or ask for at most.
+/// Maximum number of documents of a process, and so of one message.
 pub const MAX_DOCS: usize = 4_096;
 
-/// Bytes of parts that one message carries at most; the rest is asked for.
-pub const MAX_INLINE: usize = 256 << 10;
+/// Maximum bytes of parts in an [`Update`]; the receiver requests the rest.
+pub const MAX_INLINE_BYTES: usize = 256 << 10;
 
-/// Parts that one message may ask for at most.
+/// Maximum number of parts in one request.
 pub const MAX_PARTS: usize = 64;
 
-/// Bytes of parts that an answer to [`SpreadAsk::Parts`] holds before it stops.
+/// Maximum bytes of parts in an answer to [`SpreadRequest::Parts`].
 pub const MAX_PARTS_BYTES: usize = 2 << 20;
 
-/// The object, and the document, that accepts a configuration.
+/// Key of the head of the configuration, which names the accepted generation, as an object on the
+/// platform and as a document.
 pub const HEAD_KEY: &str = "spread/config";
 
-/// Everything that a relay watches lies below this prefix: the head and the plans.
+/// Prefix of all keys that a relay watches: the head and the plans.
 pub const SPREAD_PREFIX: &str = "spread/";
 
-/// A plan of a model, as a document.
+/// A document: the plan of one model.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Doc {
-    /// Its name, such as `spread/plan/rota`.
+    /// Key such as `spread/plan/rota`.
     pub key: SmolStr,
     /// Rises with each change.
     pub revision: u64,
-    /// Its encoded value.
+    /// Encoded content.
     pub bytes: Bytes,
 }
 
-/// Asks about configuration and plans, or brings them.
+/// A request for configuration and plans, or an update that is pushed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum SpreadAsk {
-    /// Everything above a generation and these revisions; a key that is not named counts as 0.
-    Above {
-        /// The generation in force at the asker.
+pub enum SpreadRequest {
+    /// All that is newer than a generation and these revisions; a missing key counts as revision 0.
+    NewerThan {
+        /// Generation in force at the sender.
         generation: Generation,
-        /// Keys and revisions of its documents.
+        /// Keys and revisions of the sender's documents.
         docs: Vec<(SmolStr, u64)>,
     },
-    /// News for the receiver and for those it passes them on to.
+    /// An update for the receiver and its children in the distribution tree.
     Push(Update),
     /// Parts of files, by digest.
     Parts(Vec<Digest>),
-    /// What the receiver, and those below it in the zone's tree, have in force.
+    /// The generations in force at the receiver and below it in the zone's tree.
     Survey,
 }
 
-/// Answers a [`SpreadAsk`].
+/// Answer to a [`SpreadRequest`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum SpreadReply {
-    /// What is newer here.
+    /// What is newer at the receiver of the request.
     Update(Update),
-    /// The parts that are here, as many as fit into one message.
+    /// The parts that it has, as many as fit into one message.
     Parts(Vec<Bytes>),
-    /// The push was taken in.
-    Done,
-    /// Answer to [`SpreadAsk::Survey`].
+    /// The push was received.
+    Ack,
+    /// Answer to [`SpreadRequest::Survey`].
     Survey(Survey),
 }
 
-/// News of the configuration and the plans.
+/// Changes of the configuration and the plans.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Update {
-    /// What changed in the configuration.
+    /// Changed files of the configuration; `None` if it did not change.
     pub delta: Option<Delta>,
     /// Parts of the changed files, as many as fit.
     pub parts: Vec<Bytes>,
@@ -96,33 +97,33 @@
 }
 
 impl Update {
-    /// Whether it brings nothing.
+    /// Whether the update has no changes.
     pub fn is_empty(&self) -> bool {
         self.delta.is_none() && self.docs.is_empty()
     }
 }
 
-/// What some processes have in force.
+/// Generations in force at a set of processes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Survey {
-    /// How many processes.
+    /// Processes that answered.
     pub processes: u32,
     /// Processes that did not answer.
     pub silent: u32,
-    /// The lowest generation among them.
+    /// Lowest generation in force among them.
     pub lowest: Generation,
-    /// The highest generation among them.
+    /// Highest generation in force among them.
     pub highest: Generation,
 }
 
 impl Survey {
-    /// A survey of one process.
+    /// Survey of a single process.
     pub fn of(generation: Generation) -> Survey {
         Survey { processes: 1, silent: 0, lowest: generation, highest: generation }
     }
 
-    /// Puts two surveys together.
-    pub fn and(self, other: Survey) -> Survey {
+    /// Survey of the processes of both.
+    pub fn merge(self, other: Survey) -> Survey {
         Survey {
             processes: self.processes + other.processes,
             silent: self.silent + other.silent,
@@ -132,15 +133,16 @@
     }
 }
 
-/// The documents one process has.
+/// The documents of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Docs {
     by_key: BTreeMap<SmolStr, Doc>,
 }
 
 impl Docs {
-    /// Takes `doc` in if it is newer than what is here, and says whether it was.
-    pub fn offer(&mut self, doc: Doc) -> bool {
+    /// Inserts `doc` if it is newer than the stored one and there is room. Returns whether it was
+    /// inserted.
+    pub fn insert_newer(&mut self, doc: Doc) -> bool {
         let known = self.by_key.get(&doc.key);
         let fits = known.is_some() || self.by_key.len() < MAX_DOCS;
         let newer = known.is_none_or(|old| old.revision < doc.revision);
@@ -150,17 +152,18 @@
         newer && fits
     }
 
-    /// The document `key`.
+    /// The document with this key.
     pub fn get(&self, key: &str) -> Option<&Doc> {
         self.by_key.get(key)
     }
 
-    /// Keys and revisions of everything here.
+    /// Keys and revisions of all documents.
     pub fn revisions(&self) -> Vec<(SmolStr, u64)> {
         self.by_key.values().map(|doc| (doc.key.clone(), doc.revision)).collect()
     }
 
-    /// A number that differs, but for chance, between processes whose documents differ.
+    /// Hash of all keys and revisions. Processes with different documents have different hashes,
+    /// save for collisions.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         for doc in self.by_key.values() {
@@ -171,53 +174,56 @@
         u64::from_be_bytes(std::array::from_fn(|at| hash.as_bytes()[at]))
     }
 
-    /// The documents that are newer here than in `theirs`. O(n log n) in the documents.
-    pub fn above(&self, theirs: &[(SmolStr, u64)]) -> Vec<Doc> {
-        let theirs: BTreeMap<&SmolStr, u64> = theirs.iter().map(|(k, r)| (k, *r)).collect();
-        let newer =
-            |doc: &&Doc| theirs.get(&doc.key).is_none_or(|revision| *revision < doc.revision);
+    /// The documents that are newer than `peer_revisions`. O(n log n) in the documents.
+    pub fn newer_than(&self, peer_revisions: &[(SmolStr, u64)]) -> Vec<Doc> {
+        let peer_revisions: BTreeMap<&SmolStr, u64> =
+            peer_revisions.iter().map(|(k, r)| (k, *r)).collect();
+        let newer = |doc: &&Doc| {
+            peer_revisions.get(&doc.key).is_none_or(|revision| *revision < doc.revision)
+        };
         self.by_key.values().filter(newer).cloned().collect()
     }
 }
 
-/// A part that a process lacks.
+/// A part of a file that this process lacks.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct MissingPart {
-    /// Its digest.
+    /// Digest of its bytes.
     pub digest: Digest,
     /// Its key on the platform.
     pub key: SmolStr,
 }
 
-/// What became of an offered delta.
+/// Outcome of [`Files::apply`].
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Offer {
-    /// It is not newer than what is in force.
-    Old,
-    /// It is in force now; the problems are those of keys that this process does not know.
-    InForce(Vec<Problem>),
-    /// These parts are needed first.
-    Missing(Vec<MissingPart>),
-    /// This process is too far behind for the delta: ask for the whole list.
+pub enum ApplyOutcome {
+    /// The delta is not newer than the generation in force.
+    Stale,
+    /// The delta is in force. The problems concern keys that this process does not know.
+    Applied(Vec<Problem>),
+    /// These parts are required first.
+    MissingParts(Vec<MissingPart>),
+    /// The delta starts after the generation in force or was made from other files; the whole list
+    /// is required.
     Gap,
 }
 
 #[derive(Clone, Debug)]
-struct HeldFile {
+struct StoredFile {
     parts: Vec<(Digest, Bytes)>,
     parsed: Arc<ParsedFile>,
 }
 
-/// The files of the configuration in force in one process.
+/// The files of the configuration in force at one process.
 #[derive(Clone, Debug, Default)]
 pub struct Files {
     list: FileList,
-    held: BTreeMap<SmolStr, HeldFile>,
+    held: BTreeMap<SmolStr, StoredFile>,
     config: Arc<Config>,
 }
 
 impl Files {
-    /// The list in force.
+    /// The file list in force.
     pub fn list(&self) -> &FileList {
         &self.list
     }
@@ -227,14 +233,14 @@
         self.config.clone()
     }
 
-    /// Puts `delta` in force if it is newer and every part is here or in `parts`. Only changed
+    /// Puts `delta` in force if it is newer and each part is stored or in `parts`. Only changed
     /// files are parsed; merging is O(n log n) in all entries.
-    pub fn offer(&mut self, delta: &Delta, parts: &[Bytes]) -> Offer {
+    pub fn apply(&mut self, delta: &Delta, parts: &[Bytes]) -> ApplyOutcome {
         if delta.to <= self.list.generation {
-            return Offer::Old;
+            return ApplyOutcome::Stale;
         }
-        let Ok(list) = self.list.apply(delta) else {
-            return Offer::Gap;
+        let Ok(list) = self.list.apply_delta(delta) else {
+            return ApplyOutcome::Gap;
         };
         let given: HashMap<Digest, &Bytes> = parts.iter().map(|p| (Digest::of(p), p)).collect();
         let held: HashMap<Digest, Bytes> =
@@ -244,15 +250,15 @@
         let mut missing = Vec::new();
         let mut problems = Vec::new();
         for file in list.files() {
-            if let Some(old) = self.held.get(&file.name).filter(|old| old.is(file)) {
+            if let Some(old) = self.held.get(&file.name).filter(|old| old.matches(file)) {
                 next.insert(file.name.clone(), old.clone());
                 continue;
             }
             let parts: Vec<Option<Bytes>> = file.parts.iter().map(find).collect();
-            missing.extend(missing_of(file, &parts));
+            missing.extend(missing_parts(file, &parts));
             if missing.is_empty() {
                 let parts = parts.into_iter().flatten();
-                let (held, found) = HeldFile::read(file, parts);
+                let (held, found) = StoredFile::read(file, parts);
                 next.insert(file.name.clone(), held);
                 problems.extend(found);
             }
@@ -260,7 +266,7 @@
         if !missing.is_empty() {
             missing.sort();
             missing.dedup();
-            return Offer::Missing(missing);
+            return ApplyOutcome::MissingParts(missing);
         }
         let in_order: Vec<(SmolStr, Arc<ParsedFile>)> =
             next.iter().map(|(name, file)| (name.clone(), file.parsed.clone())).collect();
@@ -268,22 +274,22 @@
         self.config = Arc::new(merged.config);
         self.list = list;
         self.held = next;
-        Offer::InForce(problems)
+        ApplyOutcome::Applied(problems)
     }
 
-    /// What is newer here than `generation`, with parts as far as they fit.
-    pub fn above(&self, generation: Generation) -> Option<Update> {
+    /// The changes since `generation`, with as many parts as fit; `None` if there are none.
+    pub fn newer_than(&self, generation: Generation) -> Option<Update> {
         if self.list.generation <= generation {
             return None;
         }
-        let delta = self.list.delta(generation);
+        let delta = self.list.delta_since(generation);
         let mut parts = Vec::new();
         let mut len = 0;
         for file in &delta.files {
             let held = self.held.get(&file.name).map_or(&[][..], |held| &held.parts);
             for (_, bytes) in held {
                 len += bytes.len();
-                if len <= MAX_INLINE {
+                if len <= MAX_INLINE_BYTES {
                     parts.push(bytes.clone());
                 }
             }
@@ -291,7 +297,7 @@
         Some(Update { delta: Some(delta), parts, docs: Vec::new() })
     }
 
-    /// Those of the asked parts that are here, as many as fit into one message.
+    /// Those of the requested parts that are stored, as many as fit into one message.
     pub fn parts(&self, asked: &[Digest]) -> Vec<Bytes> {
         let held: HashMap<Digest, &Bytes> =
             self.held.values().flat_map(|file| file.parts.iter().map(|(d, b)| (*d, b))).collect();
@@ -306,40 +312,41 @@
             .collect()
     }
 
-    /// Bytes of the files held.
+    /// Bytes of all stored parts.
     pub fn len_bytes(&self) -> usize {
         self.held.values().flat_map(|file| file.parts.iter()).map(|(_, bytes)| bytes.len()).sum()
     }
 }
 
-impl HeldFile {
-    fn is(&self, file: &FileRef) -> bool {
+impl StoredFile {
+    fn matches(&self, file: &FileRef) -> bool {
         self.parts.iter().map(|(digest, _)| digest).eq(file.parts.iter())
     }
 
-    fn read(file: &FileRef, parts: impl Iterator<Item = Bytes>) -> (HeldFile, Vec<Problem>) {
+    fn read(file: &FileRef, parts: impl Iterator<Item = Bytes>) -> (StoredFile, Vec<Problem>) {
         let parts: Vec<(Digest, Bytes)> = file.parts.iter().copied().zip(parts).collect();
         let whole: Vec<u8> = parts.iter().flat_map(|(_, bytes)| bytes.iter().copied()).collect();
         let (parsed, problems) = folder::parse(&file.name, &String::from_utf8_lossy(&whole));
-        (HeldFile { parts, parsed: Arc::new(parsed) }, problems)
+        (StoredFile { parts, parsed: Arc::new(parsed) }, problems)
     }
 }
 
-fn missing_of<'a>(
+fn missing_parts<'a>(
     file: &'a FileRef,
     parts: &'a [Option<Bytes>],
 ) -> impl Iterator<Item = MissingPart> + 'a {
     let absent = file.parts.iter().zip(parts).filter(|(_, bytes)| bytes.is_none());
-    absent.map(|(digest, _)| MissingPart { digest: *digest, key: part_key(file.changed, *digest) })
+    absent
+        .map(|(digest, _)| MissingPart { digest: *digest, key: part_key(file.changed_in, *digest) })
 }
 
-/// The platform's key of a part. The generation is part of it, so that a part may be deleted once
-/// its generation is replaced, without asking whether a later one holds the same bytes.
+/// Platform key of a part. The key contains the generation, so that the part can be deleted once
+/// that generation is replaced, without checking whether a later one has the same bytes.
 pub fn part_key(changed: Generation, digest: Digest) -> SmolStr {
     format!("config/part/{changed}/{}", digest.to_hex()).into()
 }
 
-/// The platform's key of a piece of an encoded file list.
+/// Platform key of a piece of an encoded file list.
 pub fn list_key(generation: Generation, digest: Digest) -> SmolStr {
     format!("config/list/{generation}/{}", digest.to_hex()).into()
 }
--- a/core/tests/direct/main.rs
+++ b/core/tests/direct/main.rs
@@ -1,14 +1,14 @@
-//! Decisions of the direct path, without network.
+//! Tests of the decisions of the direct path, without a network.
 
 mod caches;
 mod catalog;
+mod endpoint_table;
 mod events;
 mod freshness;
 mod lateness;
 mod replication;
 mod retry_after;
 mod rollout;
-mod roster;
 mod shares;
 mod subscribers;
 mod versions;
--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -20,6 +20,7 @@
 
 use mastichaven_core::Code;
 use mastichaven_core::admission::Admission;
+use mastichaven_core::attempts::AttemptTable;
 use mastichaven_core::ids::Digest;
 use mastichaven_core::ids::HostName;
 use mastichaven_core::ids::Incarnation;
@@ -30,10 +31,9 @@
 use mastichaven_core::members::Serving;
 use mastichaven_core::plan::Plan;
 use mastichaven_core::platform::HostRole;
-use mastichaven_core::record::Record;
-use mastichaven_core::share::Shares;
-use mastichaven_core::swarm::PeerPlace;
-use mastichaven_core::swarm::Way;
+use mastichaven_core::share::EntryShares;
+use mastichaven_core::swarm::PeerLocation;
+use mastichaven_core::swarm::Strategy;
 use mastichaven_core::wire::Ask;
 use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Sender;
@@ -98,8 +98,8 @@
     engine: Engine,
     serving: Mutex<Serving>,
     admission: Mutex<Admission>,
-    record: Mutex<Record>,
-    shares: Mutex<Shares>,
+    attempts: Mutex<AttemptTable>,
+    shares: Mutex<EntryShares>,
     last_crash: Mutex<(StartId, u32)>,
     runs: flume::Sender<run::Job>,
     store: Arc<Store>,
@@ -227,7 +227,7 @@
             transport,
             serving: Mutex::new(Serving::Nothing),
             admission: Mutex::new(Admission::cold(warm_limit)),
-            record: Mutex::default(),
+            attempts: Mutex::default(),
             shares: Mutex::default(),
             last_crash: Mutex::default(),
             runs,
@@ -323,7 +323,7 @@
     incarnation: Incarnation,
 ) -> Weights {
     let place = &settings.place;
-    let me = PeerPlace {
+    let me = PeerLocation {
         host: place.host.clone(),
         zone: place.zone.clone(),
         region: place.region.clone(),
@@ -331,7 +331,7 @@
     let from = Sender { host: place.host.clone(), incarnation, generation: Default::default() };
     Weights::start(Setup {
         me,
-        way: Way::Swarm,
+        way: Strategy::Swarm,
         origin_region: settings.origin_region.clone(),
         transport: transport.clone(),
         store: store.clone(),
@@ -413,7 +413,7 @@
                 "received": self.transport.traffic().received,
             },
             "running": self.running.load(Ordering::Acquire),
-            "on_record": self.record.lock().expect("no holder of this lock panics").len(),
+            "on_record": self.attempts.lock().expect("no holder of this lock panics").len(),
             "weights": {
                 "chunks": chunks,
                 "versions": versions,
@@ -421,7 +421,7 @@
                 "bytes_limit": self.settings.store_bytes,
                 "chunks_missing": progress.missing,
                 "polls": progress.counts.polls,
-                "asks": progress.counts.asks,
+                "asks": progress.counts.requests,
                 "corrupt": progress.counts.corrupt,
                 "failed": progress.counts.failed,
                 "troubled_neighbours": progress.troubled,
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -5,8 +5,8 @@
 //! full one refuses the ask as busy. What blocks, the calls to the platform, is the thread of
 //! `platform_watch.rs`.
 //!
-//! News goes down the tree of the zone ([`ring::tree`]): whoever learns of a generation or a plan
-//! passes it to its children, and to the root if it did not come down the tree. A child that does
+//! News goes down the tree of the zone ([`ring::tree_order`]): whoever learns of a generation or a
+//! plan passes it to its children, and to the root if it did not come down the tree. A child that does
 //! not answer is passed over, and its children are told instead. What that misses, the generation
 //! on every message heals: who hears of a higher one asks for it.
 
@@ -28,15 +28,15 @@
 use mastichaven_core::members::Member;
 use mastichaven_core::members::MembersAsk;
 use mastichaven_core::members::MembersReply;
+use mastichaven_core::membership::GossipConfig;
 use mastichaven_core::membership::Membership;
-use mastichaven_core::membership::Send;
-use mastichaven_core::membership::Terms;
+use mastichaven_core::membership::OutboundMessage;
 use mastichaven_core::ring;
+use mastichaven_core::spread::ApplyOutcome;
 use mastichaven_core::spread::MAX_PARTS;
 use mastichaven_core::spread::MissingPart;
-use mastichaven_core::spread::Offer;
-use mastichaven_core::spread::SpreadAsk;
 use mastichaven_core::spread::SpreadReply;
+use mastichaven_core::spread::SpreadRequest;
 use mastichaven_core::spread::Survey;
 use mastichaven_core::spread::Update;
 use mastichaven_core::wire::Ask;
@@ -275,7 +275,7 @@
 impl<N: Controlled> Loop<N> {
     fn new(node: Arc<N>) -> Loop<N> {
         let seeds = node.control().seeds.clone();
-        let membership = Membership::new(node.member(), seeds, Terms::default());
+        let membership = Membership::new(node.member(), seeds, GossipConfig::default());
         Loop {
             node,
             membership,
@@ -304,8 +304,8 @@
             return;
         }
         self.tick_at = now + TICK;
-        self.membership.set_me(self.node.member());
-        self.membership.set_docs(self.node.documents().fingerprint());
+        self.membership.set_local_member(self.node.member());
+        self.membership.set_plans_fingerprint(self.node.documents().fingerprint());
         let sends = self.membership.tick(now, &mut rand::rng());
         self.send_all(sends);
         self.settle(now);
@@ -313,7 +313,8 @@
     }
 
     fn settle(&mut self, now: Time) {
-        let quiet = now.passed(self.membership.changed(), SETTLED) && now >= Time::ZERO + SETTLED;
+        let quiet =
+            now.passed(self.membership.last_change(), SETTLED) && now >= Time::ZERO + SETTLED;
         if quiet {
             self.unsettled = None;
         }
@@ -337,14 +338,14 @@
             self.plant(&members);
         }
         let control = self.node.control();
-        control.alive.store(self.membership.alive() as u64, Ordering::Release);
+        control.alive.store(self.membership.alive_count() as u64, Ordering::Release);
         *control.members.write().expect("no holder of this lock panics") = Arc::new(members);
     }
 
     fn plant(&mut self, members: &[Member]) {
         let me = self.node.member();
         let all: Vec<&Member> = members.iter().collect();
-        let order = ring::tree(&me.zone, &all);
+        let order = ring::tree_order(&me.zone, &all);
         let relays = ring::relays(&me.zone, &all);
         let relay = relays.iter().position(|member| member.host == me.host);
         let relay = relay.map_or(NO_RELAY, |rank| rank as u32);
@@ -356,10 +357,11 @@
         self.tree = order.into_iter().map(|m| (m.host.clone(), m.address)).collect();
     }
 
-    fn send_all(&self, sends: Vec<Send>) {
-        for Send { to, token, ask } in sends {
+    fn send_all(&self, sends: Vec<OutboundMessage>) {
+        for OutboundMessage { to, token, ask } in sends {
             let tx = self.node.control().tx.clone();
-            let call = self.call(to, AskBody::Members(ask), Terms::default().timeout);
+            let call =
+                self.call(to, AskBody::Members(ask), GossipConfig::default().heartbeat_timeout);
             tokio::spawn(async move {
                 let reply = call.await.ok();
                 let _ = tx.send_async(Event::Answered { to, token, reply }).await;
@@ -395,7 +397,7 @@
                 self.pass_on(update, Way::Other);
             }
             Event::NotPushed { rank, update } => self.push_below(rank, &update),
-            Event::Hints(addresses) => self.membership.hint(addresses),
+            Event::Hints(addresses) => self.membership.set_contacts(addresses),
         }
     }
 
@@ -408,20 +410,20 @@
             self.pull(address, self.generation());
         }
         let body = match ask.body {
-            AskBody::Members(MembersAsk::ProbeFor(address)) => {
+            AskBody::Members(MembersAsk::IndirectProbe(address)) => {
                 return self.probe_for(address, replies);
             }
-            AskBody::Members(MembersAsk::HostLeaves(leaves)) => {
+            AskBody::Members(MembersAsk::HostLeaving(leaves)) => {
                 if peer.role == Role::Entry {
                     self.node.host_leaves(leaves);
                 }
-                ReplyBody::Members(MembersReply::Noted)
+                ReplyBody::Members(MembersReply::Ack)
             }
             AskBody::Members(ask) => {
                 let now = self.now();
                 ReplyBody::Members(self.membership.on_ask(now, &from, ask))
             }
-            AskBody::Spread(SpreadAsk::Survey) => return self.survey(replies),
+            AskBody::Spread(SpreadRequest::Survey) => return self.survey(replies),
             AskBody::Spread(ask) => ReplyBody::Spread(self.take_spread(&from, ask)),
             _ => ReplyBody::Refused(Code::WrongRole),
         };
@@ -434,21 +436,23 @@
         found.map(|member| member.address)
     }
 
-    fn take_spread(&mut self, from: &HostName, ask: SpreadAsk) -> SpreadReply {
+    fn take_spread(&mut self, from: &HostName, ask: SpreadRequest) -> SpreadReply {
         match ask {
-            SpreadAsk::Above { generation, docs } => {
+            SpreadRequest::NewerThan { generation, docs } => {
                 SpreadReply::Update(self.node.documents().above(generation, &docs))
             }
-            SpreadAsk::Parts(digests) => SpreadReply::Parts(self.node.documents().parts(&digests)),
-            SpreadAsk::Push(update) => {
+            SpreadRequest::Parts(digests) => {
+                SpreadReply::Parts(self.node.documents().parts(&digests))
+            }
+            SpreadRequest::Push(update) => {
                 if let Some(address) = self.address_of(from) {
                     let (update, way) = (Box::new(update), Way::Tree);
                     let _ =
                         self.node.control().tx.try_send(Event::Came { from: address, update, way });
                 }
-                SpreadReply::Done
+                SpreadReply::Ack
             }
-            SpreadAsk::Survey => SpreadReply::Survey(Survey::of(self.generation())),
+            SpreadRequest::Survey => SpreadReply::Survey(Survey::of(self.generation())),
         }
     }
 
@@ -470,10 +474,10 @@
 
     /// Plans that differ for longer than news takes were missed by one side or the other.
     fn compare_docs(&mut self, to: SocketAddr, reply: &MembersReply) {
-        let MembersReply::Hello(hello) = reply else {
+        let MembersReply::Heartbeat(heartbeat) = reply else {
             return;
         };
-        if hello.docs == self.node.documents().fingerprint() {
+        if heartbeat.plans_fingerprint == self.node.documents().fingerprint() {
             self.different_docs = 0;
             return;
         }
@@ -491,7 +495,7 @@
         }
         self.pulling = true;
         let docs = self.node.documents().revisions();
-        let ask = SpreadAsk::Above { generation, docs };
+        let ask = SpreadRequest::NewerThan { generation, docs };
         let call = self.call(from, AskBody::Spread(ask), PULL_TIMEOUT);
         let tx = self.node.control().tx.clone();
         tokio::spawn(async move {
@@ -512,16 +516,18 @@
         let before = self.generation();
         if let Some(delta) = &update.delta {
             match self.node.documents().offer_config(delta, &update.parts) {
-                Offer::Old => {}
-                Offer::InForce(problems) => {
+                ApplyOutcome::Stale => {}
+                ApplyOutcome::Applied(problems) => {
                     let log = &self.node.telemetry().log;
                     info!(log, "configuration in force"; "generation" => delta.to.0);
                     if !problems.is_empty() {
                         warn!(log, "keys not known here"; "count" => problems.len());
                     }
                 }
-                Offer::Gap => return self.pull(from, Generation(0)),
-                Offer::Missing(missing) => return self.fetch(from, update, missing, way),
+                ApplyOutcome::Gap => return self.pull(from, Generation(0)),
+                ApplyOutcome::MissingParts(missing) => {
+                    return self.fetch(from, update, missing, way);
+                }
             }
         }
         let mut docs = Vec::new();
@@ -550,7 +556,7 @@
                     return;
                 }
                 let asked = wanted.iter().take(MAX_PARTS).copied().collect();
-                let ask = node.ask(AskBody::Spread(SpreadAsk::Parts(asked)));
+                let ask = node.ask(AskBody::Spread(SpreadRequest::Parts(asked)));
                 let mut call = node.transport().call(from, &ask);
                 let reply = tokio::time::timeout(PULL_TIMEOUT, call.next()).await;
                 let Ok(Some(Ok(Reply { body, .. }))) = reply else {
@@ -590,7 +596,7 @@
     }
 
     fn push_below(&self, rank: usize, update: &Arc<Update>) {
-        for child in ring::children(rank, self.tree.len()) {
+        for child in ring::tree_children(rank, self.tree.len()) {
             self.push_to(child, update, true);
         }
     }
@@ -604,7 +610,7 @@
         if *host == self.node.member().host {
             return;
         }
-        let ask = SpreadAsk::Push(Update::clone(update));
+        let ask = SpreadRequest::Push(Update::clone(update));
         let call = self.call(*to, AskBody::Spread(ask), PUSH_TIMEOUT);
         let (tx, update) = (self.node.control().tx.clone(), update.clone());
         tokio::spawn(async move {
@@ -627,10 +633,10 @@
 
     /// Asks the children what those below them have in force, and puts the answers together.
     fn survey(&self, replies: ReplySink) {
-        let children = ring::children(self.rank, self.tree.len());
+        let children = ring::tree_children(self.rank, self.tree.len());
         let calls: Vec<_> = children
             .map(|child| {
-                let body = AskBody::Spread(SpreadAsk::Survey);
+                let body = AskBody::Spread(SpreadRequest::Survey);
                 tokio::spawn(self.call(self.tree[child].1, body, SURVEY_TIMEOUT))
             })
             .collect();
@@ -640,7 +646,7 @@
             for call in calls {
                 match call.await.map(|reply| reply.map(|reply| reply.body)) {
                     Ok(Ok(ReplyBody::Spread(SpreadReply::Survey(below)))) => {
-                        survey = survey.and(below);
+                        survey = survey.merge(below);
                     }
                     _ => survey.silent += 1,
                 }
--- a/node/src/direct/agent/reports.rs
+++ b/node/src/direct/agent/reports.rs
@@ -36,11 +36,11 @@
             let oldest = req.weights.iter().find(|weights| own.as_ref() == Some(&weights.model));
             let subscriber = Subscriber {
                 asked_us: req.sent_us,
-                at: self.clock.now(),
+                received_at: self.clock.now(),
                 is_far: req.is_far,
                 entries: req.entries,
                 oldest_weights: oldest.map_or(0, |weights| weights.oldest),
-                is_beside_origin: req.is_beside_origin,
+                is_in_origin_region: req.is_beside_origin,
                 wants_reports: req.wants_reports,
                 offer: req.offer,
             };
@@ -78,11 +78,11 @@
             // Only a link that carries no live requests is free for weights.
             self.swarm.set_beside_requests(!report.load.weights.is_empty());
             let mut load = report.load.clone();
-            load.accepts &= !self.is_ordering.get();
+            load.is_accepting &= !self.is_ordering.get();
             let now = self.clock.now();
             let count = self.subscribers.borrow().count(self.started, now);
             load.entries = count.entries;
-            load.is_count_complete = count.is_of_all;
+            load.is_count_complete = count.is_complete;
             load.readers = self.subscribers.borrow().readers(now) as u32;
             load.ready_in = self.ready_in(now);
             load.relay = self.subscribers.borrow().relay(now);
@@ -92,7 +92,7 @@
             let is_turned = last.as_ref().is_none_or(|last| !serves_alike(last, &load));
             turn += 1;
             if same % SAME_REPORT_EVERY == 0 || is_turned {
-                let setup_id = setup.as_ref().map_or(0, ModelSetup::id);
+                let setup_id = setup.as_ref().map_or(0, ModelSetup::fingerprint);
                 let is_for_all = is_turned || turn % FAR_EVERY == 0;
                 self.send(&socket, load.clone(), setup_id, is_for_all);
             }
@@ -102,9 +102,9 @@
 
     /// An endpoint that started again has lost its layers and, after a loss of power, what was staged.
     fn note_life(&self, report: &Report) {
-        let before = self.report.borrow().as_ref().map(|report| report.load.born);
-        if before != Some(report.load.born) {
-            slog::info!(self.log, "endpoint seen"; "born" => report.load.born,
+        let before = self.report.borrow().as_ref().map(|report| report.load.started_ms);
+        if before != Some(report.load.started_ms) {
+            slog::info!(self.log, "endpoint seen"; "born" => report.load.started_ms,
                 "weights" => report.load.weights.first().map_or(0, |(_, version)| *version));
         }
     }
@@ -139,7 +139,7 @@
                 report.root = root.filter(|_| !subscriber.is_far);
             }
             msg.asked_us = subscriber.asked_us;
-            msg.held_us = now.since(subscriber.at).as_micros() as u64;
+            msg.held_us = now.since(subscriber.received_at).as_micros() as u64;
             match postcard::to_stdvec(&msg) {
                 // A datagram may be lost anyway; the next report follows.
                 Ok(bytes) => drop(socket.try_send_to(&bytes, address)),
@@ -151,5 +151,5 @@
 
 /// Whether two reports say the same of what the endpoint may be sent, whatever its load.
 fn serves_alike(a: &LoadReport, b: &LoadReport) -> bool {
-    (a.accepts, a.born, &a.weights) == (b.accepts, b.born, &b.weights)
+    (a.is_accepting, a.started_ms, &a.weights) == (b.is_accepting, b.started_ms, &b.weights)
 }
--- a/node/src/direct/agent/setup.rs
+++ b/node/src/direct/agent/setup.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use mastichaven_core::direct::catalog::ModelShape;
-use mastichaven_core::direct::endpoint::Listed;
+use mastichaven_core::direct::endpoint::EndpointRecord;
 use mastichaven_core::direct::replication::Hello;
 use mastichaven_core::direct::replication::PeerEndpoint;
 use mastichaven_core::direct::replication::PeerList;
@@ -14,7 +14,7 @@
 use mastichaven_core::ids::RegionName;
 use mastichaven_core::ids::ServiceName;
 use mastichaven_core::ids::ZoneName;
-use mastichaven_core::swarm::PeerPlace;
+use mastichaven_core::swarm::PeerLocation;
 use mastichaven_platform::config;
 use mastichaven_platform::endpoints;
 use mastichaven_platform::objects::Kind;
@@ -90,8 +90,8 @@
         let Some(catalog) = objects.iter().find_map(config::scan_config) else {
             return;
         };
-        let own = self.cfg.service.as_ref().and_then(|service| catalog.setup(service));
-        let any = || catalog.services().find_map(|service| catalog.setup(&service.name));
+        let own = self.cfg.service.as_ref().and_then(|service| catalog.model_setup(service));
+        let any = || catalog.services().find_map(|service| catalog.model_setup(&service.name));
         if let Some(setup) = own.or_else(any) {
             self.apply_setup(SetupUpdate { version: catalog.version(), setup });
         }
@@ -152,8 +152,8 @@
 
     async fn ask_entries_for_peers(&self) -> Option<PeerList> {
         let service = self.cfg.service.clone()?;
-        let hello = Hello::Peers { service, known: self.peer_list.get() };
-        let mut entries = self.subscribers.borrow().near_entries(self.clock.now());
+        let hello = Hello::Peers { service, known_id: self.peer_list.get() };
+        let mut entries = self.subscribers.borrow().regional_entries(self.clock.now());
         entries.shuffle(&mut rand::rng());
         for ip in entries.into_iter().take(PEERS_TRIES) {
             let address = SocketAddr::new(ip, self.cfg.agent_port);
@@ -179,7 +179,8 @@
             |service: &ServiceName| if mine.as_ref() == Some(service) { layers } else { None };
         let listed =
             objects.iter().filter_map(|object| endpoints::scan_endpoint(object, layers_of));
-        let peer = |listed: Listed| PeerEndpoint { address: listed.address, zone: listed.zone };
+        let peer =
+            |listed: EndpointRecord| PeerEndpoint { address: listed.address, zone: listed.zone };
         self.set_peers(listed.filter(|listed| listed.is_engine).map(peer).collect());
     }
 
@@ -189,10 +190,10 @@
         let place_of = |peer: PeerEndpoint| {
             let at = SocketAddr::new(peer.address.ip(), self.cfg.agent_port);
             let region = region_of(&peer.zone);
-            let place = PeerPlace { host: host_at(peer.address), zone: peer.zone, region };
+            let place = PeerLocation { host: host_at(peer.address), zone: peer.zone, region };
             (place, at)
         };
-        let mut places: Vec<(PeerPlace, SocketAddr)> = peers.into_iter().map(place_of).collect();
+        let mut places: Vec<(PeerLocation, SocketAddr)> = peers.into_iter().map(place_of).collect();
         if !places.iter().any(|(place, _)| place.host == self.place.host) {
             let at = SocketAddr::new(self.staging.address().ip(), self.cfg.agent_port);
             places.push((self.place.clone(), at));
@@ -230,7 +231,7 @@
         slog::info!(self.log, "weights named"; "model" => model.as_str(), "version" => version);
         let now = self.clock.now();
         self.newest.set(Some((version, now)));
-        self.versions.borrow_mut().name(version, now);
+        self.versions.borrow_mut().record_announcement(version, now);
         self.swarm.want(model, version, self.held());
         self.updated.notify_one();
     }
--- a/node/src/direct/gateway.rs
+++ b/node/src/direct/gateway.rs
@@ -17,7 +17,7 @@
 use mastichaven_core::direct::catalog::Catalog;
 use mastichaven_core::direct::catalog::Customer;
 use mastichaven_core::direct::catalog::Route;
-use mastichaven_core::direct::retry_after::Cause;
+use mastichaven_core::direct::retry_after::RefusalCause;
 use mastichaven_platform::call;
 use mastichaven_platform::call::CallHead;
 use rand::RngExt;
@@ -62,15 +62,17 @@
         }
     }
 
-    fn cause(self, state: &State) -> Cause {
+    fn cause(self, state: &State) -> RefusalCause {
         match self {
-            Barred::Starting => Cause::Starting,
-            Barred::Stale => Cause::NoLease { is_held_near: state.has_fresh_neighbour.get() },
+            Barred::Starting => RefusalCause::Starting,
+            Barred::Stale => {
+                RefusalCause::NoLease { is_held_in_region: state.has_fresh_neighbour.get() }
+            }
             Barred::UnknownRoute
             | Barred::UnknownKey
             | Barred::BodyTooLong
             | Barred::BodyTooSlow
-            | Barred::BodyBroken => Cause::Other,
+            | Barred::BodyBroken => RefusalCause::Other,
         }
     }
 
@@ -117,18 +119,18 @@
     if !state.knows_all() {
         return Err(Barred::Starting);
     }
-    if !state.freshness.borrow().holds(arrived) {
+    if !state.freshness.borrow().is_valid(arrived) {
         return Err(Barred::Stale);
     }
     let catalog = state.catalog.borrow().clone().ok_or(Barred::Starting)?;
     let route = catalog.route(&head.host, req.uri().path()).ok_or(Barred::UnknownRoute)?.clone();
     let customer = customer_of(&catalog, &route, head)?;
     let draw = state.with_rng(|rng| rng.random::<f64>());
-    let service = route.service(draw).ok_or(Barred::UnknownRoute)?.clone();
+    let service = route.pick_service(draw).ok_or(Barred::UnknownRoute)?.clone();
     let cold_per_second = catalog.service(&service).map_or(0.0, |s| s.cold_per_second);
     let limits = catalog.limits();
     let (parts, body) = req.into_parts();
-    let body = read_body(body, limits.body_len, limits.head_timeout).await?;
+    let body = read_body(body, limits.max_body_len, limits.head_timeout).await?;
     let allowed = head.deadline.unwrap_or(USUAL_DEADLINE).min(route.timeout);
     let is_late = state.is_late(&route, allowed, arrived);
     Ok(Call {
@@ -154,7 +156,7 @@
     head: &CallHead,
 ) -> Result<Option<Customer>, Barred> {
     let customer = head.key.as_deref().and_then(|key| catalog.customer(key));
-    if customer.is_none() && catalog.has_customers() && !route.is_open {
+    if customer.is_none() && catalog.has_customers() && !route.allows_anonymous {
         return Err(Barred::UnknownKey);
     }
     Ok(customer.cloned())
@@ -196,18 +198,20 @@
     }
 }
 
-fn cause_of(state: &State, refusal: Refusal, call: &Call) -> Cause {
+fn cause_of(state: &State, refusal: Refusal, call: &Call) -> RefusalCause {
     match refusal {
-        Refusal::Full => Cause::Full,
+        Refusal::Full => RefusalCause::Full,
         Refusal::Warming => {
-            let warm_in = state.roster.borrow().warm_in(&call.service, state.now());
-            Cause::Warming { warm_in }
+            let warm_in = state.endpoints.borrow().warm_in(&call.service, state.now());
+            RefusalCause::Warming { warm_in }
         }
         Refusal::NoEndpoint => {
-            let ready_in = state.roster.borrow().ready_in(&call.service, state.now());
-            Cause::NoEndpoint { ready_in }
+            let ready_in = state.endpoints.borrow().ready_in(&call.service, state.now());
+            RefusalCause::NoEndpoint { ready_in }
+        }
+        Refusal::Declined | Refusal::NotStarted | Refusal::Lost | Refusal::TimedOut => {
+            RefusalCause::Other
         }
-        Refusal::Declined | Refusal::NotStarted | Refusal::Lost | Refusal::TimedOut => Cause::Other,
     }
 }
 
--- a/node/src/direct/publisher.rs
+++ b/node/src/direct/publisher.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mastichaven_core::direct::endpoint::Listed;
+use mastichaven_core::direct::endpoint::EndpointRecord;
 use mastichaven_core::direct::replication::Hello;
 use mastichaven_core::direct::replication::Message;
 use mastichaven_core::direct::replication::PeerEndpoint;
@@ -40,10 +40,12 @@
 impl State {
     /// The engines of a service that this entry knows of, for an agent that has the list `known`.
     fn peer_list(&self, service: &ServiceName, known: u64) -> PeerList {
-        let roster = self.roster.borrow();
-        let peer =
-            |listed: &Listed| PeerEndpoint { address: listed.address, zone: listed.zone.clone() };
-        PeerList::new(roster.engines_of(service).map(peer).collect(), known)
+        let endpoints = self.endpoints.borrow();
+        let peer = |listed: &EndpointRecord| PeerEndpoint {
+            address: listed.address,
+            zone: listed.zone.clone(),
+        };
+        PeerList::new(endpoints.engines_of(service).map(peer).collect(), known)
     }
 }
 
@@ -69,15 +71,15 @@
     link::prepare(&stream)?;
     let hello = timeout(HELLO_WITHIN, peers::read(&mut stream)).await;
     match hello.map_err(|_| ReplicationError::Silent)?? {
-        Hello::Follow { ip, config } => {
+        Hello::Follow { ip, config_version } => {
             let follower = Rc::new(Outbox::new(ip));
-            let ended = serve_follower(state, stream, &follower, config).await;
+            let ended = serve_follower(state, stream, &follower, config_version).await;
             state.publisher.followers.borrow_mut().retain(|other| !Rc::ptr_eq(other, &follower));
             ended
         }
-        Hello::Peers { service, known } => {
+        Hello::Peers { service, known_id } => {
             if state.knows_all() {
-                peers::write(&mut stream, &state.peer_list(&service, known)).await?;
+                peers::write(&mut stream, &state.peer_list(&service, known_id)).await?;
             }
             Ok(())
         }
--- a/node/src/direct/watch/taking.rs
+++ b/node/src/direct/watch/taking.rs
@@ -6,7 +6,7 @@
 
 use mastichaven_core::Time;
 use mastichaven_core::direct::catalog::Catalog;
-use mastichaven_core::direct::endpoint::Listed;
+use mastichaven_core::direct::endpoint::EndpointRecord;
 use mastichaven_core::direct::replication::Update;
 use mastichaven_core::ids::Revision;
 use mastichaven_core::ids::ServiceName;
@@ -57,7 +57,7 @@
         let is_any = !changes.is_empty();
         self.take_each(changes, as_of);
         if is_any && self.kind == Kind::Endpoints {
-            self.state.apply(Update::EndpointsSeen(as_of));
+            self.state.apply(Update::EndpointsProgress(as_of));
         }
         self.state.note_list();
     }
@@ -71,7 +71,7 @@
             match (self.kind, change) {
                 (Kind::Endpoints, Change::Put(object)) => self.put_endpoint(&object),
                 (Kind::Endpoints, Change::Gone(name)) => {
-                    let last = self.state.roster.borrow().revision_of(&name);
+                    let last = self.state.endpoints.borrow().revision_of(&name);
                     self.endpoint_gone(name, last.unwrap_or_default(), now);
                 }
                 (Kind::Evacuations, Change::Put(object)) => {
@@ -107,7 +107,7 @@
             slog::warn!(self.state.log, "configuration cannot be read"; "name" => object.name.as_str());
             return false;
         };
-        self.state.apply(Update::Config(Box::new(catalog.parts())));
+        self.state.apply(Update::Config(Box::new(catalog.to_parts())));
         true
     }
 
@@ -122,11 +122,11 @@
     /// Known endpoints that a list does not show.
     fn missing_from(&self, objects: &[Object]) -> Vec<SmolStr> {
         let listed: HashSet<&SmolStr> = objects.iter().map(|object| &object.name).collect();
-        let roster = self.state.roster.borrow();
-        roster.ids().filter(|id| !listed.contains(id)).cloned().collect()
+        let endpoints = self.state.endpoints.borrow();
+        endpoints.ids().filter(|id| !listed.contains(id)).cloned().collect()
     }
 
-    fn scan_endpoint(&self, object: &Object) -> Option<Listed> {
+    fn scan_endpoint(&self, object: &Object) -> Option<EndpointRecord> {
         let catalog: Option<Rc<Catalog>> = self.state.catalog.borrow().clone();
         let layers_of = |service: &ServiceName| {
             let service = catalog.as_ref()?.service(service)?;
@@ -146,7 +146,7 @@
             Some(listed) => self.state.apply(Update::EndpointPut(Box::new(listed))),
             None => {
                 let id = object.name.clone();
-                self.state.apply(Update::EndpointGone { id, last: object.revision });
+                self.state.apply(Update::EndpointRemoved { id, last_revision: object.revision });
             }
         }
     }
@@ -161,7 +161,7 @@
         if self.is_troubled(now) {
             self.keep_lapsed(id, last, now);
         } else {
-            self.state.apply(Update::EndpointGone { id, last });
+            self.state.apply(Update::EndpointRemoved { id, last_revision: last });
         }
     }
 
@@ -177,14 +177,14 @@
             let is_still = state.lapsed.borrow().get(&id) == Some(&now);
             if is_still {
                 state.lapsed.borrow_mut().remove(&id);
-                state.apply(Update::EndpointGone { id, last });
+                state.apply(Update::EndpointRemoved { id, last_revision: last });
             }
         });
     }
 
     fn set_evacuated(&self, as_of: Revision) {
         let zones = self.evacuated.iter().map(ZoneName::new).collect();
-        self.state.apply(Update::Evacuated { as_of, zones });
+        self.state.apply(Update::Evacuations { as_of, zones });
     }
 
     /// `ago` is `None` where nobody knows how long the version has been named.
@@ -194,6 +194,6 @@
             return;
         };
         let weights::Newest { model, version } = newest;
-        self.state.apply(Update::Weights { model, version, ago });
+        self.state.apply(Update::Weights { model, version, age: ago });
     }
 }
