--- a/bench/tests/callers/bounds.rs
+++ b/bench/tests/callers/bounds.rs
@@ -8,8 +8,8 @@
 use http_body_util::StreamBody;
 use hyper::body::Frame;
 use mastichaven_core::Code;
-use mastichaven_node::callers::BodyBounds;
-use mastichaven_node::callers::WriteStall;
+use mastichaven_node::callers::BodyLimits;
+use mastichaven_node::callers::WriteTimeout;
 use mastichaven_node::callers::read_body;
 use tokio::io::AsyncWriteExt;
 
@@ -36,8 +36,8 @@
     // A caller announces a body and stops in the middle of it. Without a bound, an entry that is to
     // stop would wait for it for ever.
     for bounds in [
-        BodyBounds { len: 10, between: SHORT, whole: LONG },
-        BodyBounds { len: 10, between: LONG, whole: SHORT },
+        BodyLimits { max_len: 10, chunk_timeout: SHORT, total_timeout: LONG },
+        BodyLimits { max_len: 10, chunk_timeout: LONG, total_timeout: SHORT },
     ] {
         assert_eq!(block_on(read_body(silent_body(), bounds)), Err(Code::SlowCaller));
     }
@@ -45,7 +45,7 @@
 
 #[test]
 fn read_body_at_and_over_limit() {
-    let bounds = BodyBounds { len: 4, between: LONG, whole: LONG };
+    let bounds = BodyLimits { max_len: 4, chunk_timeout: LONG, total_timeout: LONG };
     let read = |text: &'static str| block_on(read_body(Full::new(Bytes::from(text)), bounds));
     assert_eq!(read("1234"), Ok(Bytes::from("1234")));
     assert_eq!(read("12345"), Err(Code::TooLarge));
@@ -57,7 +57,7 @@
     // in the engine until the deadline.
     block_on(async {
         let (near, _far) = tokio::io::duplex(4);
-        let mut near = WriteStall::new(near, SHORT);
+        let mut near = WriteTimeout::new(near, SHORT);
         let written = near.write_all(b"more than fits").await;
         assert_eq!(written.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
     });
@@ -68,7 +68,7 @@
     // Each piece is taken within the bound, so that a slow caller still gets its whole answer.
     block_on(async {
         let (near, mut far) = tokio::io::duplex(4);
-        let mut near = WriteStall::new(near, LONG);
+        let mut near = WriteTimeout::new(near, LONG);
         let reader = tokio::spawn(async move {
             let mut buf = Vec::new();
             tokio::io::AsyncReadExt::read_to_end(&mut far, &mut buf).await.unwrap();
--- a/node/src/callers/body.rs
+++ b/node/src/callers/body.rs
@@ -1,4 +1,4 @@
-//! Reads a request's body within bounds of size and time.
+//! Reads a request body within limits of size and time.
 
 use std::time::Duration;
 
@@ -11,45 +11,49 @@
 /// Result of reading a body.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// Bounds of a body.
+/// Limits of a request body.
 #[derive(Clone, Copy, Debug)]
-pub struct BodyBounds {
-    /// Bytes at most; [`Code::TooLarge`] above.
-    pub len: usize,
-    /// Time between two pieces at most; [`Code::SlowCaller`] above.
-    pub between: Duration,
-    /// Time for the whole body at most; [`Code::SlowCaller`] above.
-    pub whole: Duration,
+pub struct BodyLimits {
+    /// Maximum size in bytes; a larger body fails with [`Code::TooLarge`].
+    pub max_len: usize,
+    /// Maximum time between two chunks; exceeding it fails with [`Code::SlowCaller`].
+    pub chunk_timeout: Duration,
+    /// Maximum time for the whole body; exceeding it fails with [`Code::SlowCaller`].
+    pub total_timeout: Duration,
 }
 
-impl BodyBounds {
-    /// The bounds of the callers' port for bodies of at most `len` bytes.
-    pub fn of_port(len: usize) -> BodyBounds {
-        BodyBounds { len, between: Duration::from_secs(10), whole: Duration::from_secs(60) }
+impl BodyLimits {
+    /// Returns the limits of the callers' port, for bodies of at most `max_len` bytes.
+    pub fn of_callers_port(max_len: usize) -> BodyLimits {
+        BodyLimits {
+            max_len,
+            chunk_timeout: Duration::from_secs(10),
+            total_timeout: Duration::from_secs(60),
+        }
     }
 }
 
-/// Bytes of a body that is too large that are still read, so that a caller who reads only after it
-/// has sent all sees the refusal and not a reset connection.
-const DISCARD_LEN: usize = 8 << 20;
+/// Number of bytes of an oversized body that are read and discarded, so that a caller that reads
+/// only after sending everything gets the error response and not a connection reset.
+const MAX_DISCARD_LEN: usize = 8 << 20;
 
-/// Time for which they are read.
-const DISCARD_SPAN: Duration = Duration::from_secs(2);
+/// Maximum time for discarding an oversized body.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads `body` within `bounds`.
+/// Reads `body` within `limits`.
 ///
-/// Without the bounds of time a caller that sends a byte a minute would keep its connection, and a
-/// process that stops would wait for it.
-pub async fn read_body<B>(mut body: B, bounds: BodyBounds) -> Result<Bytes>
+/// Without the timeouts, a caller that sends one byte per minute would keep its connection open and
+/// delay the stop of the process.
+pub async fn read_body<B>(mut body: B, limits: BodyLimits) -> Result<Bytes>
 where
     B: Body<Data = Bytes> + Unpin,
 {
-    if body.size_hint().lower() > bounds.len as u64 {
+    if body.size_hint().lower() > limits.max_len as u64 {
         discard(&mut body).await;
         return Err(Code::TooLarge);
     }
-    let read = collect(&mut body, bounds);
-    match tokio::time::timeout(bounds.whole, read).await {
+    let read = collect(&mut body, limits);
+    match tokio::time::timeout(limits.total_timeout, read).await {
         Err(_) => Err(Code::SlowCaller),
         Ok(Err(Code::TooLarge)) => {
             discard(&mut body).await;
@@ -59,20 +63,20 @@
     }
 }
 
-async fn collect<B>(body: &mut B, bounds: BodyBounds) -> Result<Bytes>
+async fn collect<B>(body: &mut B, limits: BodyLimits) -> Result<Bytes>
 where
     B: Body<Data = Bytes> + Unpin,
 {
     let mut buf = BytesMut::new();
     loop {
-        let next = tokio::time::timeout(bounds.between, body.frame()).await;
+        let next = tokio::time::timeout(limits.chunk_timeout, body.frame()).await;
         let Some(frame) = next.map_err(|_| Code::SlowCaller)? else {
             return Ok(buf.freeze());
         };
         let Ok(bytes) = frame.map_err(|_| Code::BadRequest)?.into_data() else {
             continue;
         };
-        if buf.len() + bytes.len() > bounds.len {
+        if buf.len() + bytes.len() > limits.max_len {
             return Err(Code::TooLarge);
         }
         buf.extend_from_slice(&bytes);
@@ -87,10 +91,10 @@
         let mut len = 0;
         while let Some(Ok(frame)) = body.frame().await {
             len += frame.data_ref().map_or(0, Bytes::len);
-            if len > DISCARD_LEN {
+            if len > MAX_DISCARD_LEN {
                 return;
             }
         }
     };
-    let _ = tokio::time::timeout(DISCARD_SPAN, read).await;
+    let _ = tokio::time::timeout(DISCARD_TIMEOUT, read).await;
 }
--- a/node/src/entry.rs
+++ b/node/src/entry.rs
@@ -1,14 +1,15 @@
-//! The entry: answers callers, routes their requests to agents, and shares in control.
+//! The entry: accepts requests from callers, routes them to agents, and takes part in the control
+//! plane.
 //!
 //! | thread | duty | file |
 //! | --- | --- | --- |
-//! | `callers` | speaks HTTP with callers, a task a request | `callers.rs`, `entry/requests.rs` |
-//! | `asks` | answers what peers ask | `entry/asks.rs` |
-//! | `control` | membership, and configuration and plans from peers | `control.rs` |
+//! | `callers` | serves HTTP to callers, one task per request | `callers.rs`, `entry/requests.rs` |
+//! | `asks` | handles requests from peers | `entry/peer_requests.rs` |
+//! | `control` | runs membership, and exchanges configuration and plans with peers | `control.rs` |
 //! | `platform` | watches the platform while this entry is a relay | `platform_watch.rs` |
-//! | `claims-N` | call the platform for idempotency keys and relayed calls | `entry/claims.rs` |
-//! | `sweep` | deletes claims that have expired | `entry/sweep.rs` |
-//! | `planner` | writes plans while this entry holds the lease | `entry/planner.rs` |
+//! | `claims-N` | make platform calls for claims and for other entries | `entry/claims.rs` |
+//! | `sweep` | deletes expired claims | `entry/sweep.rs` |
+//! | `planner` | writes plans while this entry holds the planner lease | `entry/planner.rs` |
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -52,27 +53,27 @@
 use crate::tls::Material;
 use crate::transport::Transport;
 
-pub(crate) mod answer;
-mod asks;
 mod claims;
 mod dispatch;
 mod parse;
+mod peer_requests;
 mod planner;
+mod quarantine;
 pub(crate) mod requests;
+pub(crate) mod response;
 mod router;
-mod suspects;
 mod sweep;
 
 /// Result of starting an entry.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// Asks waiting for the `asks` thread; more are refused as busy.
-const ASK_RING: usize = 256;
+/// Maximum number of requests from peers queued for the `asks` thread; more are refused as busy.
+const PEER_REQUEST_QUEUE_LEN: usize = 256;
 
-/// How often a stop looks whether all requests have ended.
-const STOP_POLL: Duration = Duration::from_millis(50);
+/// Interval at which a stop checks whether all requests have ended.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the threads of an entry share.
+/// State shared by the threads of an entry.
 pub(crate) struct Shared {
     pub(crate) settings: EntrySettings,
     pub(crate) telemetry: Telemetry,
@@ -85,18 +86,18 @@
     pub(crate) leaving: AtomicBool,
     pub(crate) stopping: AtomicBool,
     pub(crate) over: AtomicBool,
-    /// What callers still read is cut off: after a crash, or at the stop deadline.
-    cut_off: AtomicBool,
-    pub(crate) running: AtomicU32,
-    serial: AtomicU64,
+    /// Open responses are aborted, after a simulated crash or at the stop deadline.
+    aborting: AtomicBool,
+    pub(crate) in_flight: AtomicU32,
+    last_request_id: AtomicU64,
     claims: claims::Handle,
     router: router::Router,
-    suspects: suspects::Suspects,
+    quarantine: quarantine::SharedQuarantine,
 }
 
 impl Shared {
-    pub(crate) fn is_cut_off(&self) -> bool {
-        self.cut_off.load(Ordering::Acquire)
+    pub(crate) fn is_aborting(&self) -> bool {
+        self.aborting.load(Ordering::Acquire)
     }
 
     pub(crate) fn is_over(&self) -> bool {
@@ -116,9 +117,9 @@
         Ask { from, body }
     }
 
-    /// Names a new attempt of this life.
-    fn next_request(&self) -> RequestId {
-        RequestId::new(self.incarnation, self.serial.fetch_add(1, Ordering::Relaxed) + 1)
+    /// Returns the id of a new attempt, unique within this incarnation.
+    fn new_request_id(&self) -> RequestId {
+        RequestId::new(self.incarnation, self.last_request_id.fetch_add(1, Ordering::Relaxed) + 1)
     }
 
     pub(crate) fn member(&self) -> Member {
@@ -138,12 +139,13 @@
         }
     }
 
-    /// Everybody who is thought alive.
+    /// Returns the members that are considered alive.
     pub(crate) fn members(&self) -> Arc<Vec<Member>> {
         self.control.members()
     }
 
-    /// Whether it is about to stop: the balancer is told, but requests are still answered.
+    /// Whether the entry is about to stop. It then reports not ready, so that the load balancer
+    /// removes it, but still accepts requests.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
@@ -158,15 +160,15 @@
 }
 
 impl Entry {
-    /// Binds its ports and starts its threads.
+    /// Binds the ports and starts the threads of the entry.
     pub fn start(
         settings: EntrySettings,
         material: &Material,
         telemetry: Telemetry,
         incarnation: Incarnation,
     ) -> Result<Entry> {
-        let (tx, rx) = flume::bounded(ASK_RING);
-        let (claim_jobs, claim_rx) = flume::bounded(claims::JOB_RING);
+        let (tx, rx) = flume::bounded(PEER_REQUEST_QUEUE_LEN);
+        let (claim_calls, claim_rx) = flume::bounded(claims::CALL_QUEUE_LEN);
         let transport = Transport::start(settings.place.peers, material, tx)?;
         let (callers, operators) = (settings.callers, settings.place.operators);
         let control = Control::new(settings.seeds.clone());
@@ -182,30 +184,30 @@
             leaving: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             over: AtomicBool::new(false),
-            cut_off: AtomicBool::new(false),
-            running: AtomicU32::new(0),
-            serial: AtomicU64::new(0),
-            claims: claims::Handle::new(claim_jobs),
+            aborting: AtomicBool::new(false),
+            in_flight: AtomicU32::new(0),
+            last_request_id: AtomicU64::new(0),
+            claims: claims::Handle::new(claim_calls),
             router: router::Router::default(),
-            suspects: suspects::Suspects::default(),
+            quarantine: quarantine::SharedQuarantine::default(),
         });
         let operators = operator::start(operators, shared.clone())?;
-        let callers::Port { bound: callers, thread: port } =
+        let callers::Listener { address: callers, thread: callers_thread } =
             callers::start(callers, shared.clone())?;
-        let asks = shared.clone();
+        let peer_requests = shared.clone();
         let planner = shared.clone();
-        let sweeping = shared.clone();
+        let sweep = shared.clone();
         let mut threads = vec![
-            spawn("asks", move || asks::serve(&asks, &rx)),
+            spawn("asks", move || peer_requests::serve(&peer_requests, &rx)),
             control::start(&shared),
             platform_watch::start(&shared, Arc::new(shared.platform.clone())),
-            spawn("sweep", move || sweep::run(&sweeping)),
+            spawn("sweep", move || sweep::run(&sweep)),
             spawn("planner", move || planner::run(&planner)),
-            port,
+            callers_thread,
         ];
-        for n in 0..claims::THREADS {
-            let (shared, jobs) = (shared.clone(), claim_rx.clone());
-            threads.push(spawn(&format!("claims-{n}"), move || claims::run(&shared, &jobs)));
+        for n in 0..claims::WORKER_THREADS {
+            let (shared, calls) = (shared.clone(), claim_rx.clone());
+            threads.push(spawn(&format!("claims-{n}"), move || claims::run(&shared, &calls)));
         }
         info!(
             shared.telemetry.log, "started";
@@ -216,58 +218,62 @@
         Ok(Entry { shared, threads, callers, operators })
     }
 
-    /// Where callers reach it.
+    /// The bound address for callers.
     pub fn callers_addr(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where peers reach it.
+    /// The bound address for peers.
     pub fn peers_addr(&self) -> SocketAddr {
         self.shared.transport.local_addr()
     }
 
-    /// Where operators reach it.
+    /// The bound address for operators.
     pub fn operators_addr(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Writes the whole state to the log.
+    /// Writes the state of the entry to the log, in the format of the operators' `/dump`.
     pub fn log_dump(&self) {
         let state = self.shared.dump().to_string();
         info!(self.shared.telemetry.log, "state"; "dump" => state);
     }
 
-    /// Ends at once and without a goodbye, as a crash does; for tests of what others make of it.
+    /// Stops at once without notifying peers, as a crash does. Used by tests of how other processes
+    /// react.
     pub fn crash(self) {
-        self.shared.cut_off.store(true, Ordering::Release);
+        self.shared.aborting.store(true, Ordering::Release);
         self.shared.over.store(true, Ordering::Release);
         self.shared.transport.crash();
     }
 
-    /// Cuts off what is left once the stop deadline, if there is one, has passed since `begun`.
-    fn cut_off_after(&self, begun: Time) -> bool {
+    /// Aborts the remaining requests once the stop deadline has passed, counted from `begun`.
+    /// Returns whether it has passed; false if no deadline is configured.
+    fn abort_after_deadline(&self, begun: Time) -> bool {
         let deadline = self.shared.settings.stop_deadline_ms.map(Duration::from_millis);
-        let is_over = deadline.is_some_and(|span| self.shared.clock.now().passed(begun, span));
-        if is_over && !self.shared.cut_off.swap(true, Ordering::AcqRel) {
-            let running = self.shared.running.load(Ordering::Acquire);
-            warn!(self.shared.telemetry.log, "stop deadline"; "cut_off" => running);
+        let is_overdue = deadline.is_some_and(|span| self.shared.clock.now().passed(begun, span));
+        if is_overdue && !self.shared.aborting.swap(true, Ordering::AcqRel) {
+            let in_flight = self.shared.in_flight.load(Ordering::Acquire);
+            warn!(self.shared.telemetry.log, "stop deadline"; "cut_off" => in_flight);
         }
-        is_over
+        is_overdue
     }
 
-    /// Stops gracefully: not ready, takes nothing new, finishes every request in progress, leaves.
+    /// Stops gracefully: reports not ready for the notice period, then rejects new requests, waits
+    /// for those in flight, and leaves the membership.
     pub fn stop(self) {
         self.shared.leaving.store(true, Ordering::Release);
         thread::sleep(Duration::from_millis(self.shared.settings.notice_ms));
         self.shared.stopping.store(true, Ordering::Release);
         let begun = self.shared.clock.now();
-        while self.shared.running.load(Ordering::Acquire) > 0 && !self.cut_off_after(begun) {
-            thread::sleep(STOP_POLL);
+        while self.shared.in_flight.load(Ordering::Acquire) > 0 && !self.abort_after_deadline(begun)
+        {
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         self.shared.over.store(true, Ordering::Release);
         while !self.threads.iter().all(thread::JoinHandle::is_finished) {
-            self.cut_off_after(begun);
-            thread::sleep(STOP_POLL);
+            self.abort_after_deadline(begun);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         for thread in self.threads {
             let _ = thread.join();
@@ -276,7 +282,7 @@
 }
 
 fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> thread::JoinHandle<()> {
-    thread::Builder::new().name(name.to_owned()).spawn(run).expect("the system gives a thread")
+    thread::Builder::new().name(name.to_owned()).spawn(run).expect("thread can be created")
 }
 
 impl Controlled for Shared {
@@ -331,7 +337,7 @@
                 "sent": self.transport.traffic().sent,
                 "received": self.transport.traffic().received,
             },
-            "running": self.running.load(Ordering::Acquire),
+            "running": self.in_flight.load(Ordering::Acquire),
             "services": router::dump(self),
             "counts": self.telemetry.counts(),
             "uptime_ms": self.clock.now().as_millis(),
@@ -339,8 +345,8 @@
     }
 
     fn send_gauges(&self) {
-        let running = u64::from(self.running.load(Ordering::Acquire));
-        self.telemetry.gauge(Gauge::Running, running);
+        let in_flight = u64::from(self.in_flight.load(Ordering::Acquire));
+        self.telemetry.gauge(Gauge::Running, in_flight);
         self.telemetry.gauge(Gauge::Generation, self.documents.in_force().generation.0);
         let members = self.members().len() as u64;
         self.telemetry.gauge(Gauge::Members, members);
--- a/node/src/entry/claims.rs
+++ b/node/src/entry/claims.rs
@@ -1,8 +1,8 @@
-//! Requests with an idempotency key: carries out what [`ClaimMachine`] decides.
+//! Runs requests with an idempotency key: performs the actions of [`ClaimMachine`].
 //!
-//! Platform calls block, so a few threads make them, behind a bounded ring; a full ring counts as
-//! a platform that is down. An entry that cannot reach the platform itself passes its calls on
-//! through other entries, which serve them from the same ring.
+//! Platform calls block, so worker threads make them, behind a bounded queue. A full queue is
+//! treated as an unavailable platform. An entry that cannot reach the platform relays its calls
+//! through other entries, which serve them from the same queue.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -37,105 +37,105 @@
 
 use super::Shared;
 use super::dispatch;
-use super::parse::Parsed;
+use super::parse::ParsedRequest;
 use super::router;
-use super::router::Lease;
-use super::router::Refused;
+use super::router::EndpointPermit;
+use super::router::Rejection;
 use crate::transport::ReplySink;
 
-/// Threads that call the platform.
-pub(super) const THREADS: usize = 8;
+/// Number of threads that call the platform.
+pub(super) const WORKER_THREADS: usize = 8;
 
-/// Calls waiting for a thread.
-pub(super) const JOB_RING: usize = 256;
+/// Maximum number of platform calls that wait for a worker thread.
+pub(super) const CALL_QUEUE_LEN: usize = 256;
 
-/// How often a thread looks whether the entry has ended.
-const POLL: Duration = Duration::from_millis(200);
+/// Interval at which a thread checks whether the entry has stopped.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long calls go through other entries first after the platform could not be reached.
-const AVOID: Duration = Duration::from_secs(2);
+/// How long calls skip the direct path and are relayed, after the platform could not be reached.
+const PLATFORM_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Other entries that one call is passed on through at most.
-const MAX_RELAYS: usize = 2;
+/// Maximum number of other entries tried as a relay for one call.
+const MAX_RELAYING_ENTRIES: usize = 2;
 
-/// How long another entry may take to pass a call on.
+/// Timeout of a relayed call.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Attempts that one request moves its claim through at most.
-const MAX_MOVES: u32 = 8;
+/// Maximum number of attempts that the claim of one request is assigned to.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// A call for the threads.
-pub(super) enum Job {
+/// A platform call for the worker threads.
+pub(super) enum PlatformCall {
     Read(String, oneshot::Sender<Event>),
     Write(String, Bytes, Expect, oneshot::Sender<Event>),
     Relay(RelayRequest, ReplySink),
 }
 
-/// Hands calls to the threads.
+/// Sends calls to the worker threads.
 pub(super) struct Handle {
-    jobs: flume::Sender<Job>,
-    avoid_until: AtomicU64,
+    calls: flume::Sender<PlatformCall>,
+    backoff_until: AtomicU64,
 }
 
 impl Handle {
-    /// A handle whose calls go to `jobs`.
-    pub(super) fn new(jobs: flume::Sender<Job>) -> Handle {
-        Handle { jobs, avoid_until: AtomicU64::new(0) }
+    /// Creates a handle that sends its calls to `calls`.
+    pub(super) fn new(calls: flume::Sender<PlatformCall>) -> Handle {
+        Handle { calls, backoff_until: AtomicU64::new(0) }
     }
 
-    /// Serves a call that another entry passes on.
-    pub(super) fn relay(&self, ask: RelayRequest, replies: ReplySink) {
-        if let Err(error) = self.jobs.try_send(Job::Relay(ask, replies))
-            && let Job::Relay(_, replies) = error.into_inner()
+    /// Queues a call that another entry relays. A full queue refuses it as busy.
+    pub(super) fn relay(&self, request: RelayRequest, replies: ReplySink) {
+        if let Err(error) = self.calls.try_send(PlatformCall::Relay(request, replies))
+            && let PlatformCall::Relay(_, replies) = error.into_inner()
         {
             let body = ReplyBody::Refused(Code::Busy);
             let _ = replies.send(Reply { generation: Default::default(), body });
         }
     }
 
-    async fn call(&self, job: impl FnOnce(oneshot::Sender<Event>) -> Job) -> Event {
+    async fn call(&self, make_call: impl FnOnce(oneshot::Sender<Event>) -> PlatformCall) -> Event {
         let (tx, rx) = oneshot::channel();
-        if self.jobs.try_send(job(tx)).is_err() {
+        if self.calls.try_send(make_call(tx)).is_err() {
             return Event::Unavailable;
         }
         rx.await.unwrap_or(Event::WriteUnknown)
     }
 
-    fn avoids_platform(&self, now: Time) -> bool {
-        now.as_micros() < self.avoid_until.load(Ordering::Relaxed)
+    fn is_backing_off(&self, now: Time) -> bool {
+        now.as_micros() < self.backoff_until.load(Ordering::Relaxed)
     }
 
-    fn avoid_platform(&self, now: Time) {
-        self.avoid_until.store((now + AVOID).as_micros(), Ordering::Relaxed);
+    fn back_off(&self, now: Time) {
+        self.backoff_until.store((now + PLATFORM_BACKOFF).as_micros(), Ordering::Relaxed);
     }
 }
 
-/// Serves the ring until the entry ends.
-pub(super) fn run(shared: &Arc<Shared>, jobs: &flume::Receiver<Job>) {
+/// Serves queued calls until the entry stops.
+pub(super) fn run(shared: &Arc<Shared>, calls: &flume::Receiver<PlatformCall>) {
     while !shared.is_over() {
-        if let Ok(job) = jobs.recv_timeout(POLL) {
-            serve_job(shared, job);
+        if let Ok(call) = calls.recv_timeout(STOP_POLL_INTERVAL) {
+            serve_call(shared, call);
         }
     }
 }
 
-fn serve_job(shared: &Shared, job: Job) {
-    match job {
-        Job::Read(key, tx) => {
-            let _ = tx.send(found(read(shared, &key)));
+fn serve_call(shared: &Shared, call: PlatformCall) {
+    match call {
+        PlatformCall::Read(key, tx) => {
+            let _ = tx.send(read_event(read_object(shared, &key)));
         }
-        Job::Write(key, value, expect, tx) => {
-            let _ = tx.send(written(write(shared, &key, value, expect)));
+        PlatformCall::Write(key, value, expect, tx) => {
+            let _ = tx.send(write_event(write_object(shared, &key, value, expect)));
         }
-        Job::Relay(ask, replies) => {
+        PlatformCall::Relay(request, replies) => {
             let generation = shared.documents.in_force().generation;
-            let body = ReplyBody::Relay(serve_relay(shared, ask));
+            let body = ReplyBody::Relay(serve_relay(shared, request));
             let _ = replies.send(Reply { generation, body });
         }
     }
 }
 
-fn found(read: Result<Option<Object>, PlatformError>) -> Event {
+fn read_event(read: Result<Option<Object>, PlatformError>) -> Event {
     match read {
         Ok(None) => Event::Found(None),
         Ok(Some(object)) => match Claim::decode(&object.value) {
@@ -146,7 +146,7 @@
     }
 }
 
-fn written(write: Result<Revision, PlatformError>) -> Event {
+fn write_event(write: Result<Revision, PlatformError>) -> Event {
     match write {
         Ok(revision) => Event::Written(revision),
         Err(PlatformError::Conflict) => Event::Conflict,
@@ -155,15 +155,15 @@
     }
 }
 
-fn read(shared: &Shared, key: &str) -> Result<Option<Object>, PlatformError> {
-    if !shared.claims.avoids_platform(shared.clock.now()) {
+fn read_object(shared: &Shared, key: &str) -> Result<Option<Object>, PlatformError> {
+    if !shared.claims.is_backing_off(shared.clock.now()) {
         match shared.platform.get(key) {
             Err(PlatformError::Throttled) => return Err(PlatformError::Throttled),
-            Err(_) => shared.claims.avoid_platform(shared.clock.now()),
+            Err(_) => shared.claims.back_off(shared.clock.now()),
             found => return found,
         }
     }
-    match relay(shared, &RelayRequest::Get(key.into())) {
+    match relay_call(shared, &RelayRequest::Get(key.into())) {
         RelayReply::Object(object) => {
             Ok(object.map(|(revision, value)| Object { revision, value }))
         }
@@ -171,18 +171,18 @@
     }
 }
 
-fn write(
+fn write_object(
     shared: &Shared,
     key: &str,
     value: Bytes,
     expect: Expect,
 ) -> Result<Revision, PlatformError> {
-    if !shared.claims.avoids_platform(shared.clock.now()) {
+    if !shared.claims.is_backing_off(shared.clock.now()) {
         match shared.platform.put(key, value.clone(), expect) {
-            Err(PlatformError::Down) => shared.claims.avoid_platform(shared.clock.now()),
-            // It may have taken effect: only a read tells, so no other way is tried with it.
+            Err(PlatformError::Down) => shared.claims.back_off(shared.clock.now()),
+            // The write may have taken effect, which only a read determines, so it is not relayed.
             Err(PlatformError::Unknown) => {
-                shared.claims.avoid_platform(shared.clock.now());
+                shared.claims.back_off(shared.clock.now());
                 return Err(PlatformError::Unknown);
             }
             result => return result,
@@ -192,7 +192,7 @@
         Expect::Absent => None,
         Expect::At(revision) => Some(revision),
     };
-    match relay(shared, &RelayRequest::Put { key: key.into(), value, expect }) {
+    match relay_call(shared, &RelayRequest::Put { key: key.into(), value, expect }) {
         RelayReply::Written(revision) => Ok(revision),
         RelayReply::Conflict => Err(PlatformError::Conflict),
         RelayReply::Unavailable => Err(PlatformError::Down),
@@ -200,16 +200,16 @@
     }
 }
 
-/// Passes a call on through entries of other zones first, as they are likelier to reach the
-/// platform; stops at the first answer that is not a proof that nothing was done.
-fn relay(shared: &Shared, ask: &RelayRequest) -> RelayReply {
-    let me = &shared.settings.place;
+/// Relays a call through other entries. Those in other zones come first, as they are more likely to
+/// reach the platform. Stops at the first reply that does not prove that the call had no effect.
+fn relay_call(shared: &Shared, request: &RelayRequest) -> RelayReply {
+    let own_place = &shared.settings.place;
     let mut entries: Vec<Member> = shared.members().to_vec();
-    entries.retain(|m| m.role == HostRole::Entry && m.host != me.host && !m.leaving);
-    entries.sort_by_key(|m| m.zone == me.zone);
-    for entry in entries.iter().take(MAX_RELAYS) {
-        let ask = shared.ask(AskBody::Relay(ask.clone()));
-        let reply = shared.transport.ask_one(entry.address, &ask, RELAY_TIMEOUT);
+    entries.retain(|m| m.role == HostRole::Entry && m.host != own_place.host && !m.leaving);
+    entries.sort_by_key(|m| m.zone == own_place.zone);
+    for entry in entries.iter().take(MAX_RELAYING_ENTRIES) {
+        let message = shared.ask(AskBody::Relay(request.clone()));
+        let reply = shared.transport.ask_one(entry.address, &message, RELAY_TIMEOUT);
         match reply.map(|reply| reply.body) {
             Ok(ReplyBody::Relay(RelayReply::Unavailable) | ReplyBody::Refused(_))
             | Err(Code::Unreachable | Code::Busy) => {}
@@ -220,9 +220,9 @@
     RelayReply::Unavailable
 }
 
-fn serve_relay(shared: &Shared, ask: RelayRequest) -> RelayReply {
+fn serve_relay(shared: &Shared, request: RelayRequest) -> RelayReply {
     let platform = &shared.platform;
-    match ask {
+    match request {
         RelayRequest::Get(key) => match platform.get(&key) {
             Ok(object) => RelayReply::Object(object.map(|o| (o.revision, o.value))),
             Err(_) => RelayReply::Unavailable,
@@ -239,111 +239,114 @@
     }
 }
 
-/// What a keyed request came to.
-pub(super) struct Claimed {
-    /// The answer, or why there is none.
-    pub(super) result: Result<FullResponse, Refused>,
-    /// Whether it is proved that nothing ran under the key; `not-run` needs that.
+/// Result of a request with an idempotency key.
+pub(super) struct ClaimResult {
+    /// The response, or the reason that there is none.
+    pub(super) result: Result<FullResponse, Rejection>,
+    /// Whether it is proved that nothing ran under the key, as the outcome `not-run` requires.
     pub(super) not_run: bool,
 }
 
-/// Runs a request at most once under its key.
-pub(super) async fn serve(shared: &Arc<Shared>, parsed: &Parsed, key: &str) -> Claimed {
+/// Runs a request at most once per key.
+pub(super) async fn serve(shared: &Arc<Shared>, parsed: &ParsedRequest, key: &str) -> ClaimResult {
     let object = claim::object_key(&parsed.customer, &parsed.service, key);
-    let lease = match router::acquire(shared, parsed, &[], false).await {
-        Ok(lease) => lease,
-        Err(refused) => return Claimed { result: Err(refused), not_run: false },
+    let permit = match router::acquire(shared, parsed, &[], false).await {
+        Ok(permit) => permit,
+        Err(rejection) => return ClaimResult { result: Err(rejection), not_run: false },
     };
     let now = shared.clock.now();
-    let (run, mut next) =
-        ClaimMachine::start(parsed.digest(), lease.to.clone(), parsed.deadline, now);
-    let mut sending = Sending { shared, parsed, run, lease: Some(lease), attempts: 0 };
+    let (machine, mut next) =
+        ClaimMachine::start(parsed.digest(), permit.to.clone(), parsed.deadline, now);
+    let mut keyed = KeyedRequest { shared, parsed, machine, permit: Some(permit), attempts: 0 };
     loop {
         next = match next {
-            Action::Dispatch => sending.send().await,
-            Action::Respond(answer) => return Claimed { result: Ok(answer), not_run: false },
-            Action::Refuse(Code::Voided) if !sending.run.is_not_run() => {
-                sending.move_on(Code::Voided).await
+            Action::Dispatch => keyed.send().await,
+            Action::Respond(response) => {
+                return ClaimResult { result: Ok(response), not_run: false };
+            }
+            Action::Refuse(Code::Voided) if !keyed.machine.is_not_run() => {
+                keyed.reassign(Code::Voided).await
             }
             Action::Refuse(code) => {
-                let not_run = sending.run.is_not_run();
-                return Claimed { result: Err(code.into()), not_run };
+                let not_run = keyed.machine.is_not_run();
+                return ClaimResult { result: Err(code.into()), not_run };
             }
             Action::QueryAgent(_) | Action::Read | Action::Wait(_) | Action::Write(..) => {
-                let event = carry_out(shared, &object, next).await;
-                sending.run.step(event, shared.clock.now())
+                let event = perform(shared, &object, next).await;
+                keyed.machine.step(event, shared.clock.now())
             }
         };
     }
 }
 
-/// Whether a later life of the agent has been heard of. Nobody can tell any more what the life that
-/// the claim names did; to ask for it until patience runs out would keep each resend waiting.
-fn is_replaced(shared: &Shared, to: &Dispatch) -> bool {
+/// Whether a later incarnation of the agent is known. The state of the attempt can then no longer
+/// be determined, and querying it until the timeout would delay every retry of the request.
+fn is_agent_restarted(shared: &Shared, to: &Dispatch) -> bool {
     let is_later = |m: &Member| m.host == to.agent && m.incarnation > to.incarnation;
     shared.members().iter().any(is_later)
 }
 
-async fn carry_out(shared: &Shared, object: &str, call: Action) -> Event {
+async fn perform(shared: &Shared, object: &str, action: Action) -> Event {
     let key = object.to_owned();
-    match call {
+    match action {
         Action::Write(claim, expect) => {
             let value = Bytes::from(claim.encode());
-            shared.claims.call(|tx| Job::Write(key, value, expect, tx)).await
+            shared.claims.call(|tx| PlatformCall::Write(key, value, expect, tx)).await
         }
-        Action::QueryAgent(to) if is_replaced(shared, &to) => {
+        Action::QueryAgent(to) if is_agent_restarted(shared, &to) => {
             Event::AgentReply(Some(VoidReply::Unknown))
         }
-        Action::QueryAgent(to) => Event::AgentReply(dispatch::void(shared, &to).await),
+        Action::QueryAgent(to) => Event::AgentReply(dispatch::query_attempt(shared, &to).await),
         Action::Wait(span) => {
             tokio::time::sleep(span).await;
             Event::Waited
         }
-        _ => shared.claims.call(|tx| Job::Read(key, tx)).await,
+        _ => shared.claims.call(|tx| PlatformCall::Read(key, tx)).await,
     }
 }
 
-/// One sending of a keyed request.
-struct Sending<'a> {
+/// One submission of a request with an idempotency key.
+struct KeyedRequest<'a> {
     shared: &'a Arc<Shared>,
-    parsed: &'a Parsed,
-    run: ClaimMachine,
-    /// The endpoint that the claimed attempt may be sent to.
-    lease: Option<Lease>,
+    parsed: &'a ParsedRequest,
+    machine: ClaimMachine,
+    /// Permit for the endpoint of the claimed attempt, until it is sent.
+    permit: Option<EndpointPermit>,
     attempts: u32,
 }
 
-impl Sending<'_> {
+impl KeyedRequest<'_> {
     async fn send(&mut self) -> Action {
-        let Some(lease) = self.lease.take() else {
-            return self.run.contact_lost(self.shared.clock.now());
+        let Some(permit) = self.permit.take() else {
+            return self.machine.contact_lost(self.shared.clock.now());
         };
-        if self.parsed.caller.has_left() {
-            return self.run.release(Code::CallerLeft);
+        if self.parsed.caller.has_stopped_waiting() {
+            return self.machine.release(Code::CallerLeft);
         }
         self.attempts += 1;
         let attempt = Attempt(self.attempts);
-        match dispatch::run_whole(self.shared, self.parsed, lease, attempt).await {
-            Ok(answer) => self.run.finish(answer, self.shared.clock.now()),
-            Err(failure) if failure.is_not_run() => self.move_on(failure.code).await,
-            Err(_) => self.run.contact_lost(self.shared.clock.now()),
+        match dispatch::run_to_completion(self.shared, self.parsed, permit, attempt).await {
+            Ok(response) => self.machine.finish(response, self.shared.clock.now()),
+            Err(failure) if failure.is_not_run() => self.reassign(failure.code).await,
+            Err(_) => self.machine.contact_lost(self.shared.clock.now()),
         }
     }
 
-    /// The attempt is proved not to run: claims for another endpoint, or gives the claim up.
-    async fn move_on(&mut self, code: Code) -> Action {
-        let is_over = self.parsed.deadline <= self.shared.clock.now();
-        if self.attempts >= MAX_MOVES || is_over {
-            return self.run.release(code);
+    /// Reassigns the claim to another endpoint, or releases it. Called only when the attempt is
+    /// proved not to have run.
+    async fn reassign(&mut self, code: Code) -> Action {
+        let is_expired = self.parsed.deadline <= self.shared.clock.now();
+        if self.attempts >= MAX_ATTEMPTS || is_expired {
+            return self.machine.release(code);
         }
-        let tried = [self.run.attempt().agent.clone()];
+        let tried = [self.machine.attempt().agent.clone()];
         match router::acquire(self.shared, self.parsed, &tried, true).await {
-            Ok(lease) => {
-                let to = lease.to.clone();
-                self.lease = Some(lease);
-                self.run.reassign(to)
+            Ok(permit) => {
+                let to = permit.to.clone();
+                self.permit = Some(permit);
+                self.machine.reassign(to)
             }
-            Err(refused) => self.run.release(refused.code),
+            Err(rejection) => self.machine.release(rejection.code),
         }
     }
 }
--- a/node/src/entry/dispatch.rs
+++ b/node/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! One attempt: sending it and reading its frames.
+//! Sends an attempt to an agent and reads the frames of its response.
 
 use std::time::Duration;
 
@@ -25,33 +25,33 @@
 use tokio::time::timeout;
 
 use super::Shared;
-use super::parse::Parsed;
-use super::router::Lease;
-use super::suspects;
+use super::parse::ParsedRequest;
+use super::quarantine;
+use super::router::EndpointPermit;
 use crate::telemetry::Counter;
 use crate::transport::Call;
 
 /// Result of an attempt.
 pub(super) type Result<T> = std::result::Result<T, Failure>;
 
-/// Bytes of an answer that is gathered whole, at most.
-const MAX_WHOLE_LEN: usize = 64 << 20;
+/// Maximum size in bytes of a response that is buffered in full.
+const MAX_FULL_RESPONSE_LEN: usize = 64 << 20;
 
-/// How long an agent may take to say what became of an attempt.
-const VOID_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of a query for the state of an attempt.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the agent's own deadlines are given on top, before the agent itself counts as lost.
-const AGENT_SLACK: Duration = Duration::from_millis(500);
+/// Added to the timeouts that the agent applies itself; past that, the agent counts as lost.
+const AGENT_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
-/// An attempt that gave no whole answer.
+/// An attempt that returned no complete response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct Failure {
-    /// What is known of it.
+    /// The cause, which also determines the outcome.
     pub(super) code: Code,
 }
 
 impl Failure {
-    /// Whether the attempt is proved not to have run.
+    /// Whether it is proved that the attempt did not run.
     pub(super) fn is_not_run(self) -> bool {
         self.code.outcome() == Outcome::NotRun
     }
@@ -63,31 +63,31 @@
     }
 }
 
-/// An attempt whose answer has begun.
-pub(super) struct Opened {
-    /// HTTP status.
+/// A response whose head has arrived; its body is read frame by frame.
+pub(super) struct OpenResponse {
+    /// HTTP status of the response.
     pub(super) status: u16,
-    /// Content type.
+    /// Value of the `content-type` header.
     pub(super) content_type: SmolStr,
     call: Call,
-    order: FrameSequencer,
-    patience: Duration,
-    lease: Lease,
-    /// What the request is known by, should it crash its endpoint.
-    request: Digest,
-    alone: bool,
+    sequencer: FrameSequencer,
+    frame_timeout: Duration,
+    permit: EndpointPermit,
+    /// Identifies the request in a crash report.
+    request_digest: Digest,
+    exclusive: bool,
 }
 
-/// Sends one attempt and waits for the head of its answer.
+/// Sends one attempt and waits for the head of its response.
 pub(super) async fn open(
     shared: &Shared,
-    parsed: &Parsed,
-    lease: Lease,
+    parsed: &ParsedRequest,
+    permit: EndpointPermit,
     attempt: Attempt,
     resume_after: u64,
-) -> Result<Opened> {
+) -> Result<OpenResponse> {
     let limits = shared.documents.in_force().config.limits.clone();
-    // A stream that has begun is bounded by its pauses, not by the time it takes as a whole.
+    // A stream that has begun is limited by the pauses between frames, not by its total time.
     let left = match resume_after {
         0 => parsed.deadline.since(shared.clock.now()),
         _ => Duration::from_millis(limits.first_byte_ms),
@@ -95,33 +95,42 @@
     if left.is_zero() {
         return Err(Code::DeadlineBeforeRun.into());
     }
-    let mut ask = run_ask(parsed, &lease.to, attempt, resume_after, left);
-    ask.exclusive = match shared.suspects.verdict(shared, parsed) {
+    let mut run = run_request(parsed, &permit.to, attempt, resume_after, left);
+    run.exclusive = match shared.quarantine.policy(shared, parsed) {
         RunPolicy::Shared => false,
         RunPolicy::Exclusive => true,
         RunPolicy::Refused => return Err(Code::Quarantined.into()),
     };
-    let (request, alone) = (parsed.digest(), ask.exclusive);
-    let patience = Duration::from_millis(limits.between_bytes_ms) + AGENT_SLACK;
-    let first_byte = Duration::from_millis(limits.first_byte_ms) + AGENT_SLACK;
-    let wait = if parsed.idempotent { left.min(first_byte) } else { left };
+    let (request_digest, exclusive) = (parsed.digest(), run.exclusive);
+    let frame_timeout = Duration::from_millis(limits.between_bytes_ms) + AGENT_TIMEOUT_MARGIN;
+    let first_byte = Duration::from_millis(limits.first_byte_ms) + AGENT_TIMEOUT_MARGIN;
+    let head_timeout = if parsed.idempotent { left.min(first_byte) } else { left };
     shared.telemetry.count(Counter::AttemptsSent);
-    parsed.sent.add();
-    let call = shared.transport.call(lease.to.address, &shared.ask(AskBody::Run(ask)));
-    let order = FrameSequencer::new(attempt);
+    parsed.unresolved.add();
+    let call = shared.transport.call(permit.to.address, &shared.ask(AskBody::Run(run)));
+    let sequencer = FrameSequencer::new(attempt);
     let (status, content_type) = (0, SmolStr::default());
-    let mut opening = Opened { status, content_type, call, order, patience, lease, request, alone };
-    let head = timeout(wait, opening.head()).await;
+    let mut response = OpenResponse {
+        status,
+        content_type,
+        call,
+        sequencer,
+        frame_timeout,
+        permit,
+        request_digest,
+        exclusive,
+    };
+    let head = timeout(head_timeout, response.read_head()).await;
     let head = head.unwrap_or(Err(Code::DeadlineDuringRun.into()));
-    let noted = opening.note(head);
-    if noted.is_err_and(Failure::is_not_run) {
-        parsed.sent.remove();
+    let recorded = response.record_failure(head);
+    if recorded.is_err_and(Failure::is_not_run) {
+        parsed.unresolved.remove();
     }
-    noted.map(|()| opening)
+    recorded.map(|()| response)
 }
 
-fn run_ask(
-    parsed: &Parsed,
+fn run_request(
+    parsed: &ParsedRequest,
     to: &Dispatch,
     attempt: Attempt,
     resume_after: u64,
@@ -148,19 +157,19 @@
     }
 }
 
-impl Opened {
-    async fn head(&mut self) -> Result<()> {
+impl OpenResponse {
+    async fn read_head(&mut self) -> Result<()> {
         loop {
-            match self.frame().await? {
+            match self.next_frame().await? {
                 RunFrame::Started { .. } => {}
                 RunFrame::Head { status, content_type, .. } => {
                     self.status = status;
                     self.content_type = content_type;
-                    self.lease.head();
+                    self.permit.record_head();
                     return Ok(());
                 }
                 frame => {
-                    if self.order.accept(frame)? != FrameContent::Dropped {
+                    if self.sequencer.accept(frame)? != FrameContent::Dropped {
                         return Err(Code::Truncated.into());
                     }
                 }
@@ -168,53 +177,53 @@
         }
     }
 
-    async fn frame(&mut self) -> Result<RunFrame> {
-        let frame = next_frame(&mut self.call).await?;
+    async fn next_frame(&mut self) -> Result<RunFrame> {
+        let frame = read_frame(&mut self.call).await?;
         match &frame {
             RunFrame::Refused { load, .. } => {
-                self.lease.report(*load);
-                self.lease.refused();
+                self.permit.record_load(*load);
+                self.permit.record_refusal();
             }
-            RunFrame::End { load, .. } => self.lease.report(*load),
+            RunFrame::End { load, .. } => self.permit.record_load(*load),
             RunFrame::Failed { crashed: true, concurrent, .. } => {
-                let crash = Crash { request: self.request, concurrent: *concurrent };
-                suspects::crashed(self.lease.shared(), crash);
+                let crash = Crash { request: self.request_digest, concurrent: *concurrent };
+                quarantine::report_crash(self.permit.shared(), crash);
             }
             _ => {}
         }
         Ok(frame)
     }
 
-    /// Tells routing how the attempt went on.
-    fn note<T>(&mut self, result: Result<T>) -> Result<T> {
+    /// Records a failure with the permit, so that routing takes it into account.
+    fn record_failure<T>(&mut self, result: Result<T>) -> Result<T> {
         if let Err(failure) = &result {
-            self.lease.note_failure(failure.code);
+            self.permit.record_failure(failure.code);
         }
         result
     }
 
-    /// Whether the answer is a stream of events that is passed on as it comes.
+    /// Whether the response is an event stream, which is forwarded as it arrives.
     pub(super) fn is_stream(&self) -> bool {
         self.content_type.starts_with("text/event-stream")
     }
 
-    /// The next bytes; `None` when the answer is whole.
+    /// Returns the next bytes of the body; `None` when the response is complete.
     pub(super) async fn next(&mut self) -> Result<Option<Bytes>> {
         let next = self.next_bytes().await;
-        self.note(next)
+        self.record_failure(next)
     }
 
     async fn next_bytes(&mut self) -> Result<Option<Bytes>> {
         loop {
-            let frame = timeout(self.patience, self.frame())
+            let frame = timeout(self.frame_timeout, self.next_frame())
                 .await
                 .unwrap_or(Err(Code::DeadlineDuringRun.into()))?;
-            match self.order.accept(frame)? {
+            match self.sequencer.accept(frame)? {
                 FrameContent::Bytes(bytes) => return Ok(Some(bytes)),
                 FrameContent::End => {
-                    self.lease.set_ended(AttemptResult::Answered);
-                    if self.alone {
-                        self.lease.shared().suspects.came_through(self.request);
+                    self.permit.set_result(AttemptResult::Answered);
+                    if self.exclusive {
+                        self.permit.shared().quarantine.clear(self.request_digest);
                     }
                     return Ok(None);
                 }
@@ -223,11 +232,12 @@
         }
     }
 
-    /// The whole answer, so that its status goes out only when all of it is here.
-    pub(super) async fn gather(mut self) -> Result<FullResponse> {
+    /// Reads the full response, so that its status is sent to the caller only when the body is
+    /// complete.
+    pub(super) async fn read_full(mut self) -> Result<FullResponse> {
         let mut body = BytesMut::new();
         while let Some(bytes) = self.next().await? {
-            if body.len() + bytes.len() > MAX_WHOLE_LEN {
+            if body.len() + bytes.len() > MAX_FULL_RESPONSE_LEN {
                 return Err(Code::Truncated.into());
             }
             body.extend_from_slice(&bytes);
@@ -240,12 +250,12 @@
     }
 }
 
-async fn next_frame(call: &mut Call) -> Result<RunFrame> {
+async fn read_frame(call: &mut Call) -> Result<RunFrame> {
     match call.next().await {
         Some(Ok(reply)) => match reply.body {
             ReplyBody::Run(frame) => Ok(frame),
             ReplyBody::Refused(code) => Err(code.into()),
-            // A reply to something else proves nothing of this attempt.
+            // A reply of another type proves nothing about this attempt.
             _ => Err(Code::PeerLost.into()),
         },
         Some(Err(code)) => Err(code.into()),
@@ -253,22 +263,22 @@
     }
 }
 
-/// Sends one attempt and gathers its answer.
-pub(super) async fn run_whole(
+/// Sends one attempt and reads its full response.
+pub(super) async fn run_to_completion(
     shared: &Shared,
-    parsed: &Parsed,
-    lease: Lease,
+    parsed: &ParsedRequest,
+    permit: EndpointPermit,
     attempt: Attempt,
 ) -> Result<FullResponse> {
-    open(shared, parsed, lease, attempt, 0).await?.gather().await
+    open(shared, parsed, permit, attempt, 0).await?.read_full().await
 }
 
-/// Asks the agent life that an attempt went to what became of it; one that has not started never
-/// will. `None` when the agent cannot be reached.
-pub(super) async fn void(shared: &Shared, to: &Dispatch) -> Option<VoidReply> {
-    let ask = VoidRequest { request: to.request, incarnation: to.incarnation };
-    let mut call = shared.transport.call(to.address, &shared.ask(AskBody::Void(ask)));
-    match timeout(VOID_TIMEOUT, call.next()).await {
+/// Queries the agent incarnation that an attempt was sent to for the state of the attempt. An
+/// attempt that has not started is voided. Returns `None` if the agent cannot be reached.
+pub(super) async fn query_attempt(shared: &Shared, to: &Dispatch) -> Option<VoidReply> {
+    let query = VoidRequest { request: to.request, incarnation: to.incarnation };
+    let mut call = shared.transport.call(to.address, &shared.ask(AskBody::Void(query)));
+    match timeout(QUERY_TIMEOUT, call.next()).await {
         Ok(Some(Ok(reply))) => match reply.body {
             ReplyBody::Void(reply) => Some(reply),
             _ => None,
--- a/node/src/entry/parse.rs
+++ b/node/src/entry/parse.rs
@@ -1,4 +1,4 @@
-//! Reading a request: who sends it, where it goes, and how it may be handled.
+//! Parses a request of a caller: customer, route, limits, and whether it may run more than once.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -24,36 +24,36 @@
 use super::Shared;
 use super::router;
 use crate::callers;
-use crate::callers::BodyBounds;
+use crate::callers::BodyLimits;
 
-/// Result of reading a request.
+/// Result of parsing a request.
 pub(super) type Result<T> = std::result::Result<T, Code>;
 
-/// Header with the customer's key.
+/// Header with the customer's API key.
 const KEY_HEADER: &str = "mastichaven-key";
 
-/// Header that names a request across resends.
+/// Header with the idempotency key, which identifies a request across retries.
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// Header with the milliseconds that the caller waits at most.
+/// Header with the deadline in milliseconds, counted from the arrival of the request.
 const DEADLINE_HEADER: &str = "mastichaven-deadline-ms";
 
-/// Header with the wanted priority, 0 to 9; capped by the customer's.
+/// Header with the priority, 0 to 9; limited to the maximum of the customer.
 const PRIORITY_HEADER: &str = "mastichaven-priority";
 
-/// Bytes of a prompt that make one token, roughly.
-const BYTES_PER_TOKEN: usize = 4;
+/// Estimated number of prompt bytes per token.
+const PROMPT_BYTES_PER_TOKEN: usize = 4;
 
-/// Bytes of the first message that requests with the same prefix share.
+/// Number of bytes of the first message that identify the prompt prefix.
 const PREFIX_LEN: usize = 1_024;
 
-/// Output tokens expected of a request that does not say.
-const USUAL_OUTPUT: u32 = 64;
+/// Expected number of output tokens of a request without `max_tokens`.
+const DEFAULT_OUTPUT_TOKENS: u32 = 64;
 
-/// Work units of one request at most, whatever it says.
-const MAX_WORK: u32 = 1 << 20;
+/// Maximum number of work units charged for one request.
+const MAX_WORK_UNITS: u32 = 1 << 20;
 
-/// The part of a chat completion's body that is read.
+/// The fields of a chat completion request that are parsed.
 #[derive(Default, Deserialize)]
 struct Fields {
     #[serde(default)]
@@ -64,101 +64,102 @@
     messages: Vec<Message>,
 }
 
-/// One message of a conversation.
+/// One message of a chat completion request.
 #[derive(Default, Deserialize)]
 struct Message {
     #[serde(default)]
     content: serde_json::Value,
 }
 
-/// Whether the caller of a request still waits.
+/// Whether the caller of a request still waits for the response.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Caller(Arc<AtomicBool>);
+pub(super) struct CallerStatus(Arc<AtomicBool>);
 
-impl Caller {
-    /// Whether it has left. Its resend may be on its way through another entry by then, and must
-    /// not be told `not-run` while this sending waits for its turn.
-    pub(super) fn has_left(&self) -> bool {
+impl CallerStatus {
+    /// Whether the caller has disconnected or its deadline has passed. It may then retry through
+    /// another entry, and the retry must not get the outcome `not-run` while this submission is
+    /// still queued and may run.
+    pub(super) fn has_stopped_waiting(&self) -> bool {
         self.0.load(Ordering::Acquire)
     }
 
-    /// Notes that the caller has left when it is dropped.
-    pub(super) fn watch(&self) -> CallerWatch {
-        CallerWatch(self.clone())
+    /// Returns a guard that marks the caller as no longer waiting when dropped.
+    pub(super) fn wait_guard(&self) -> WaitGuard {
+        WaitGuard(self.clone())
     }
 }
 
-/// Lives as long as the caller waits.
-pub(super) struct CallerWatch(Caller);
+/// Held while the caller waits for the response.
+pub(super) struct WaitGuard(CallerStatus);
 
-impl Drop for CallerWatch {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
         self.0.0.store(true, Ordering::Release);
     }
 }
 
-/// Counts the attempts of a request that are not proved not to have run.
+/// Number of attempts of a request that may have run.
 ///
-/// The refusal of the last attempt says nothing of the earlier ones: an endpoint that died of the
-/// first may have run it. Without this count its caller would be told `not-run`, and do by hand
-/// what was done already.
+/// A refusal of the last attempt proves nothing about earlier ones: an endpoint that crashed during
+/// the first attempt may have run it. Without this count the caller would get the outcome `not-run`
+/// and repeat an operation that was already done.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Sent(Arc<AtomicU32>);
+pub(super) struct UnresolvedAttempts(Arc<AtomicU32>);
 
-impl Sent {
-    /// An attempt is about to be sent.
+impl UnresolvedAttempts {
+    /// Counts an attempt; called before it is sent.
     pub(super) fn add(&self) {
         self.0.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// An attempt is proved not to have run.
+    /// Removes an attempt that is proved not to have run.
     pub(super) fn remove(&self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Whether some attempt may have run.
+    /// Whether any attempt may have run.
     pub(super) fn may_have_run(&self) -> bool {
         self.0.load(Ordering::Acquire) > 0
     }
 }
 
-/// A request that was read.
+/// A parsed request.
 #[derive(Clone, Debug)]
-pub(super) struct Parsed {
-    /// Who sends it.
+pub(super) struct ParsedRequest {
+    /// The customer that sent it.
     pub(super) customer: CustomerName,
-    /// Where it goes.
+    /// The service that it is routed to.
     pub(super) service: ServiceName,
-    /// Digest of the manifest that must answer; `None` for plain services.
+    /// Manifest digest of the model version that must serve the request; `None` for plain services.
     pub(super) version: Option<Digest>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub(super) idempotent: bool,
-    /// Its idempotency key, where it needs one.
+    /// Idempotency key; `None` if absent or not needed because the service is idempotent.
     pub(super) key: Option<SmolStr>,
-    /// Digest of the start of its prompt, which endpoints may have cached.
+    /// Digest of the prompt prefix, which endpoints may have cached; `None` for plain services.
     pub(super) prefix: Option<Digest>,
-    /// Work units it costs.
+    /// Cost in work units.
     pub(super) work: u32,
-    /// 0 (lowest) to 9.
+    /// Priority from 0 (lowest) to 9.
     pub(super) priority: u8,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub(super) deadline: Time,
-    /// Who waits for the answer.
-    pub(super) caller: Caller,
-    /// Attempts that may have run.
-    pub(super) sent: Sent,
+    /// Whether the caller still waits.
+    pub(super) caller: CallerStatus,
+    /// Number of attempts that may have run.
+    pub(super) unresolved: UnresolvedAttempts,
     /// HTTP method.
     pub(super) method: SmolStr,
     /// Path and query.
     pub(super) path: SmolStr,
-    /// Content type of the body.
+    /// Value of the `content-type` header.
     pub(super) content_type: SmolStr,
-    /// The body.
+    /// Request body.
     pub(super) body: Bytes,
 }
 
-impl Parsed {
-    /// What the claim and the crash record know the request by.
+impl ParsedRequest {
+    /// Digest of method, path and body, which identifies the request in claims and crash reports.
     pub(super) fn digest(&self) -> Digest {
         let mut bytes = format!("{} {}\n", self.method, self.path).into_bytes();
         bytes.extend_from_slice(&self.body);
@@ -166,13 +167,17 @@
     }
 }
 
-/// Whether a request names an idempotency key, so that an earlier sending of it may have run.
-pub(super) fn is_keyed(req: &Request<Incoming>) -> bool {
+/// Whether a request has an idempotency key, so that an earlier submission of it may have run.
+pub(super) fn has_idempotency_key(req: &Request<Incoming>) -> bool {
     req.headers().contains_key(IDEMPOTENCY_HEADER)
 }
 
-/// Reads a request.
-pub(super) async fn parse(shared: &Shared, req: Request<Incoming>, now: Time) -> Result<Parsed> {
+/// Parses the head of a request that arrived at `now`, and reads its body.
+pub(super) async fn parse(
+    shared: &Shared,
+    req: Request<Incoming>,
+    now: Time,
+) -> Result<ParsedRequest> {
     if callers::is_head_too_large(&req) {
         return Err(Code::TooLarge);
     }
@@ -181,41 +186,41 @@
         return Err(Code::NotConfigured);
     }
     let config = &in_force.config;
-    let text = |name: &str| {
+    let header = |name: &str| {
         let value = req.headers().get(name).and_then(|value| value.to_str().ok());
         SmolStr::new(value.unwrap_or_default())
     };
-    let (customer, max_priority) = find_customer(config, &text(KEY_HEADER))?;
-    let key = text(IDEMPOTENCY_HEADER);
+    let (customer, max_priority) = find_customer(config, &header(KEY_HEADER))?;
+    let key = header(IDEMPOTENCY_HEADER);
     if key.len() > MAX_KEY_LEN {
         return Err(Code::BadRequest);
     }
-    let deadline = scan_deadline(config, &text(DEADLINE_HEADER))?;
-    let priority = text(PRIORITY_HEADER).parse().unwrap_or(0u8).min(max_priority);
-    let content_type = text("content-type");
+    let deadline = parse_deadline(config, &header(DEADLINE_HEADER))?;
+    let priority = header(PRIORITY_HEADER).parse().unwrap_or(0u8).min(max_priority);
+    let content_type = header("content-type");
     let method = SmolStr::new(req.method().as_str());
     let path = req.uri().path_and_query().map_or("/".into(), |path| SmolStr::new(path.as_str()));
     let limit = usize::try_from(config.limits.body_bytes).unwrap_or(usize::MAX);
-    let body = callers::read_body(req.into_body(), BodyBounds::of_port(limit)).await?;
+    let body = callers::read_body(req.into_body(), BodyLimits::of_callers_port(limit)).await?;
     let fields: Fields = serde_json::from_slice(&body).unwrap_or_default();
     let service = find_route(config, &path, fields.model.as_ref())?;
     let (version, idempotent) = match config.service.get(&service) {
-        Some(Service::Model { model, .. }) => (Some(router::version_of(shared, model)?), true),
+        Some(Service::Model { model, .. }) => (Some(router::serving_version(shared, model)?), true),
         Some(Service::Plain { idempotent, .. }) => (None, *idempotent),
         None => return Err(Code::NoRoute),
     };
-    Ok(Parsed {
+    Ok(ParsedRequest {
         customer,
         service,
         version,
         idempotent,
         key: (!key.is_empty() && !idempotent).then_some(key),
-        prefix: if version.is_some() { prefix_of(&fields) } else { None },
-        work: if version.is_some() { work_of(&body, &fields) } else { 1 },
+        prefix: if version.is_some() { prompt_prefix(&fields) } else { None },
+        work: if version.is_some() { estimate_work(&body, &fields) } else { 1 },
         priority,
         deadline: now + deadline,
-        caller: Caller::default(),
-        sent: Sent::default(),
+        caller: CallerStatus::default(),
+        unresolved: UnresolvedAttempts::default(),
         method,
         path,
         content_type,
@@ -230,44 +235,47 @@
     Ok((name.clone(), customer.max_priority))
 }
 
-/// A deadline only shortens what is configured.
-fn scan_deadline(config: &Config, text: &str) -> Result<Duration> {
+/// Parses the deadline header, which can only shorten the configured deadline.
+fn parse_deadline(config: &Config, text: &str) -> Result<Duration> {
     let configured = config.limits.deadline_ms;
     if text.is_empty() {
         return Ok(Duration::from_millis(configured));
     }
-    let wanted: u64 = text.parse().map_err(|_| Code::BadRequest)?;
-    Ok(Duration::from_millis(wanted.min(configured)))
+    let requested: u64 = text.parse().map_err(|_| Code::BadRequest)?;
+    Ok(Duration::from_millis(requested.min(configured)))
 }
 
-/// Conversations begin with long instructions that many share: those are worth meeting again.
-fn prefix_of(fields: &Fields) -> Option<Digest> {
+/// Returns the digest of the start of the first message. Many conversations share the same long
+/// instructions there, so a match makes a cache hit at the endpoint likely.
+fn prompt_prefix(fields: &Fields) -> Option<Digest> {
     let first = fields.messages.first()?.content.as_str()?.as_bytes();
     Some(Digest::of(&first[..first.len().min(PREFIX_LEN)]))
 }
 
-fn work_of(body: &Bytes, fields: &Fields) -> u32 {
-    let prompt = u32::try_from(body.len() / BYTES_PER_TOKEN).unwrap_or(MAX_WORK);
-    prompt.saturating_add(fields.max_tokens.unwrap_or(USUAL_OUTPUT)).clamp(1, MAX_WORK)
+fn estimate_work(body: &Bytes, fields: &Fields) -> u32 {
+    let prompt = u32::try_from(body.len() / PROMPT_BYTES_PER_TOKEN).unwrap_or(MAX_WORK_UNITS);
+    prompt
+        .saturating_add(fields.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS))
+        .clamp(1, MAX_WORK_UNITS)
 }
 
-fn find_route(config: &Config, path: &str, named: Option<&SmolStr>) -> Result<ServiceName> {
+fn find_route(config: &Config, path: &str, model: Option<&SmolStr>) -> Result<ServiceName> {
     config
         .route
         .values()
         .filter(|route| path.starts_with(route.path.as_str()))
-        .filter(|route| route.model.is_none() || route.model.as_ref() == named)
+        .filter(|route| route.model.is_none() || route.model.as_ref() == model)
         .max_by_key(|route| route.path.len())
         .map(|route| route.service.clone())
         .ok_or(Code::NoRoute)
 }
 
-/// During a rollout the version that answers may change between two attempts; a later attempt goes
-/// to the one in service then. No answer mixes versions, as each attempt names its own.
-pub(super) fn refresh_version(shared: &Shared, parsed: &mut Parsed) -> Result<()> {
+/// Updates the model version before an attempt, as a rollout may have switched it since the
+/// previous one. Each attempt names its version, so no response mixes versions.
+pub(super) fn refresh_version(shared: &Shared, parsed: &mut ParsedRequest) -> Result<()> {
     let in_force = shared.documents.in_force();
     if let Some(Service::Model { model, .. }) = in_force.config.service.get(&parsed.service) {
-        parsed.version = Some(router::version_of(shared, model)?);
+        parsed.version = Some(router::serving_version(shared, model)?);
     }
     Ok(())
 }
--- a/node/src/entry/asks.rs
+++ b/node/src/entry/peer_requests.rs
@@ -1,4 +1,4 @@
-//! Answers what peers ask of an entry.
+//! Handles requests from peers to an entry.
 
 use std::time::Duration;
 
@@ -10,24 +10,24 @@
 use super::Shared;
 use crate::transport::Incoming;
 
-/// How often the thread looks whether the entry has ended.
-const POLL: Duration = Duration::from_millis(200);
+/// Interval at which the thread checks whether the entry has stopped.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Serves the ring until the entry ends.
-pub(super) fn serve(shared: &Shared, asks: &flume::Receiver<Incoming>) {
+/// Handles queued requests until the entry stops.
+pub(super) fn serve(shared: &Shared, requests: &flume::Receiver<Incoming>) {
     while !shared.is_over() {
-        if let Ok(incoming) = asks.recv_timeout(POLL) {
-            answer(shared, incoming);
+        if let Ok(incoming) = requests.recv_timeout(STOP_POLL_INTERVAL) {
+            handle(shared, incoming);
         }
     }
 }
 
-fn answer(shared: &Shared, incoming: Incoming) {
+fn handle(shared: &Shared, incoming: Incoming) {
     match incoming.ask.body {
         AskBody::Members(_) | AskBody::Spread(_) => shared.control.take(incoming),
-        AskBody::Relay(ask) => shared.claims.relay(ask, incoming.replies),
+        AskBody::Relay(request) => shared.claims.relay(request, incoming.replies),
         AskBody::Suspect(crash) => {
-            shared.suspects.told(shared, crash);
+            shared.quarantine.record_crash(shared, crash);
             let generation = shared.documents.generation();
             let _ = incoming.replies.send(Reply { generation, body: ReplyBody::Ack });
         }
--- a/node/src/entry/planner.rs
+++ b/node/src/entry/planner.rs
@@ -1,8 +1,9 @@
-//! Writes the plan of each model, under the planner's lease, by conditional update.
+//! Writes the plan of each model by conditional updates, while this entry holds the planner lease.
 //!
-//! The plan is read from the platform, changed and written back at the revision read. A planner
-//! that was paused in between, or one of two that both believe to hold the lease, finds another
-//! revision there and writes nothing. A lost answer is resolved by the next reading.
+//! A plan is read from the platform, changed, and written on the condition that its revision is
+//! unchanged. The write fails if the planner was paused in between, or if two planners act on the
+//! lease at the same time. If the reply to a write is lost, the next read shows whether it took
+//! effect.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -36,30 +37,31 @@
 use crate::lease_keeper::LeaseKeeper;
 use crate::lease_keeper::PLANNER_LEASE_KEY;
 
-/// How often the planner looks.
-const INTERVAL: Duration = Duration::from_millis(300);
+/// Interval at which the plans are recomputed.
+const PLAN_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long an engine may take to load a version before the plan moves on to another host.
-const LOAD_PATIENCE: Duration = Duration::from_secs(120);
+/// Time to load a version after which a host counts as failed and the plan uses another one.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A planner that sees less than half of a plan's hosts waits this long after it got the lease:
-/// its own view may still be filling, and moving every replica would be worse than waiting.
-const VIEW_PATIENCE: Duration = Duration::from_secs(10);
+/// Time after acquiring the lease during which a plan is left unchanged if less than half of its
+/// hosts are listed as members. The member list may still be incomplete, and moving every replica
+/// would be worse than waiting.
+const MEMBERS_SYNC_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A host that stopped answering keeps its place for this long. One lost probe on a busy network
-/// would else move its replica: unload, reload, and the same again at the next probe.
-const HOST_PATIENCE: Duration = Duration::from_secs(10);
+/// How long an unresponsive host keeps its replicas. Without it, one lost probe on a busy network
+/// would move a replica, with an unload and a reload, and the next probe would move it again.
+const HOST_GRACE_PERIOD: Duration = Duration::from_secs(10);
 
 struct Planner<'a> {
     shared: &'a Shared,
     lease: LeaseKeeper,
-    held_since: Option<Time>,
-    scalers: HashMap<ModelName, Autoscaler>,
+    lease_held_since: Option<Time>,
+    autoscalers: HashMap<ModelName, Autoscaler>,
     loading_since: HashMap<(HostName, Digest), Time>,
-    seen: HashMap<HostName, (Time, EngineHost)>,
+    last_seen: HashMap<HostName, (Time, EngineHost)>,
 }
 
-/// Runs until the entry ends, then gives the lease up.
+/// Runs the planner until the entry stops, then releases the lease.
 pub(super) fn run(shared: &Shared) {
     let host = shared.settings.place.host.clone();
     let timing = LeaseTiming::default();
@@ -67,17 +69,17 @@
     let mut planner = Planner {
         shared,
         lease,
-        held_since: None,
-        scalers: HashMap::new(),
+        lease_held_since: None,
+        autoscalers: HashMap::new(),
         loading_since: HashMap::new(),
-        seen: HashMap::new(),
+        last_seen: HashMap::new(),
     };
     while !shared.is_over() {
         planner.renew();
         if shared.control.is_settled() {
             planner.plan_all();
         }
-        thread::sleep(INTERVAL);
+        thread::sleep(PLAN_INTERVAL);
     }
     planner.lease.release(&shared.platform);
 }
@@ -86,11 +88,11 @@
     fn renew(&mut self) {
         self.lease.tick(&self.shared.platform);
         let now = self.shared.clock.now();
-        let held = self.lease.token().is_some();
-        if held && self.held_since.is_none() {
+        let is_held = self.lease.token().is_some();
+        if is_held && self.lease_held_since.is_none() {
             info!(self.shared.telemetry.log, "this entry is the planner");
         }
-        self.held_since = held.then(|| self.held_since.unwrap_or(now));
+        self.lease_held_since = is_held.then(|| self.lease_held_since.unwrap_or(now));
     }
 
     fn plan_all(&mut self) {
@@ -104,7 +106,7 @@
     }
 
     fn plan_one(&mut self, config: &Config, placement: &Placement, members: &[Member]) {
-        let Some(version) = version_of(config, placement) else {
+        let Some(version) = configured_version(config, placement) else {
             return;
         };
         let key = plan_key(&placement.model);
@@ -114,30 +116,30 @@
         let old: Option<Plan> =
             object.as_ref().and_then(|object| serde_json::from_slice(&object.value).ok());
         let now = self.shared.clock.now();
-        if old.as_ref().is_some_and(|old| self.sees_too_little(old, members, now)) {
+        if old.as_ref().is_some_and(|old| self.is_member_list_incomplete(old, members, now)) {
             return;
         }
-        let mut seats = seats(config, &placement.model, members);
-        self.add_recent(&mut seats, config, members, now);
-        let failed = self.failed(old.as_ref(), version, &seats, now);
-        let taken = self.taken(config, &placement.model);
+        let mut hosts = engine_hosts(config, &placement.model, members);
+        self.add_recently_seen(&mut hosts, config, members, now);
+        let failed = self.find_failed_hosts(old.as_ref(), version, &hosts, now);
+        let reserved = self.reserved_hosts(config, &placement.model);
         let current = old.as_ref().map_or(0, |plan| plan.replicas.len());
-        let scaler = self.scalers.entry(placement.model.clone()).or_default();
+        let autoscaler = self.autoscalers.entry(placement.model.clone()).or_default();
         let goal = Goal {
             model: &placement.model,
             version,
             memory_mib: config.model.get(&placement.model).map_or(0, |model| model.memory_mib),
             placement,
-            replicas: scaler.target_replicas(
+            replicas: autoscaler.target_replicas(
                 current,
                 placement,
-                load_of(members, &placement.model),
+                utilization(members, &placement.model),
                 now,
             ),
             failed: &failed,
-            reserved: &taken,
+            reserved: &reserved,
         };
-        let Some(plan) = next_plan(old.as_ref(), &goal, &seats) else {
+        let Some(plan) = next_plan(old.as_ref(), &goal, &hosts) else {
             return;
         };
         if old.as_ref() == Some(&plan) || self.lease.token().is_none() {
@@ -152,81 +154,87 @@
         }
     }
 
-    fn sees_too_little(&self, old: &Plan, members: &[Member], now: Time) -> bool {
-        let seen = old.replicas.iter().filter(|r| members.iter().any(|m| m.host == r.host)).count();
-        let fresh = self.held_since.is_none_or(|since| !now.passed(since, VIEW_PATIENCE));
-        fresh && seen * 2 < old.replicas.len()
+    fn is_member_list_incomplete(&self, old: &Plan, members: &[Member], now: Time) -> bool {
+        let listed =
+            old.replicas.iter().filter(|r| members.iter().any(|m| m.host == r.host)).count();
+        let is_recent =
+            self.lease_held_since.is_none_or(|since| !now.passed(since, MEMBERS_SYNC_TIMEOUT));
+        is_recent && listed * 2 < old.replicas.len()
     }
 
-    /// Adds hosts that were seen a moment ago, as not ready. Those that said that they leave, or
-    /// whose zone is out, are gone at once.
-    fn add_recent(
+    /// Adds hosts that were seen within the grace period, as not ready. Hosts that announced that
+    /// they are leaving, or whose zone is out of service, are removed at once.
+    fn add_recently_seen(
         &mut self,
-        seats: &mut Vec<EngineHost>,
+        hosts: &mut Vec<EngineHost>,
         config: &Config,
         members: &[Member],
         now: Time,
     ) {
-        for seat in seats.iter() {
-            let remembered = EngineHost { ready: None, ..seat.clone() };
-            self.seen.insert(seat.host.clone(), (now, remembered));
+        for engine in hosts.iter() {
+            let not_ready = EngineHost { ready: None, ..engine.clone() };
+            self.last_seen.insert(engine.host.clone(), (now, not_ready));
         }
-        self.seen.retain(|host, (at, seat)| {
-            let here = seats.iter().any(|seat| seat.host == *host);
-            let said_no = members.iter().any(|member| member.host == *host);
-            here || (!said_no && zone_in(config, &seat.zone) && !now.passed(*at, HOST_PATIENCE))
+        self.last_seen.retain(|host, (at, engine)| {
+            let is_current = hosts.iter().any(|engine| engine.host == *host);
+            let is_member = members.iter().any(|member| member.host == *host);
+            is_current
+                || (!is_member
+                    && is_zone_in(config, &engine.zone)
+                    && !now.passed(*at, HOST_GRACE_PERIOD))
         });
-        let silent = self.seen.values().filter(|(at, _)| *at != now).map(|(_, seat)| seat.clone());
-        seats.extend(silent.collect::<Vec<_>>());
+        let unresponsive =
+            self.last_seen.values().filter(|(at, _)| *at != now).map(|(_, engine)| engine.clone());
+        hosts.extend(unresponsive.collect::<Vec<_>>());
     }
 
-    /// Hosts that were ordered to load `version` long ago and do not answer from it.
-    fn failed(
+    /// Returns the hosts that did not load `version` within [`LOAD_TIMEOUT`].
+    fn find_failed_hosts(
         &mut self,
         old: Option<&Plan>,
         version: Digest,
-        seats: &[EngineHost],
+        hosts: &[EngineHost],
         now: Time,
     ) -> BTreeSet<HostName> {
-        let ordered =
+        let is_assigned =
             |host: &HostName| old.and_then(|plan| plan.version_for(host)) == Some(version);
         let mut failed = BTreeSet::new();
-        for seat in seats {
-            let key = (seat.host.clone(), version);
-            if seat.ready == Some(version) {
+        for engine in hosts {
+            let key = (engine.host.clone(), version);
+            if engine.ready == Some(version) {
                 self.loading_since.remove(&key);
-            } else if ordered(&seat.host) || self.loading_since.contains_key(&key) {
+            } else if is_assigned(&engine.host) || self.loading_since.contains_key(&key) {
                 let since = *self.loading_since.entry(key).or_insert(now);
-                if now.passed(since, LOAD_PATIENCE) {
-                    failed.insert(seat.host.clone());
+                if now.passed(since, LOAD_TIMEOUT) {
+                    failed.insert(engine.host.clone());
                 }
             }
         }
         failed
     }
 
-    /// Hosts that the plans of other models hold: an engine holds one model.
-    fn taken(&self, config: &Config, model: &ModelName) -> BTreeSet<HostName> {
+    /// Returns the hosts in the plans of other models, as an engine holds only one model.
+    fn reserved_hosts(&self, config: &Config, model: &ModelName) -> BTreeSet<HostName> {
         let others = config.placement.values().map(|p| &p.model).filter(|other| *other != model);
         let plans = others.filter_map(|other| self.shared.documents.plan(other));
         plans.flat_map(|(_, plan)| plan.replicas).map(|replica| replica.host).collect()
     }
 }
 
-fn version_of(config: &Config, placement: &Placement) -> Option<Digest> {
+fn configured_version(config: &Config, placement: &Placement) -> Option<Digest> {
     let model = config.model.get(&placement.model)?;
     Digest::from_hex(&config.version.get(&model.serve)?.manifest)
 }
 
-fn zone_in(config: &Config, zone: &ZoneName) -> bool {
+fn is_zone_in(config: &Config, zone: &ZoneName) -> bool {
     config.zone.get(zone).is_some_and(|zone| zone.state == ZoneState::In)
 }
 
-fn seats(config: &Config, model: &ModelName, members: &[Member]) -> Vec<EngineHost> {
+fn engine_hosts(config: &Config, model: &ModelName, members: &[Member]) -> Vec<EngineHost> {
     members
         .iter()
         .filter(|member| member.endpoint == EndpointKind::Engine && !member.leaving)
-        .filter(|member| zone_in(config, &member.zone))
+        .filter(|member| is_zone_in(config, &member.zone))
         .map(|member| EngineHost {
             host: member.host.clone(),
             zone: member.zone.clone(),
@@ -243,8 +251,9 @@
     }
 }
 
-/// The share of admitted work in use over the ready replicas of a model; 1 when the queues press.
-fn load_of(members: &[Member], model: &ModelName) -> f64 {
+/// Returns the work in progress as a share of the admitted work, over the ready replicas of a
+/// model: 1 when all of it is in use and requests queue, 0 without a ready replica.
+fn utilization(members: &[Member], model: &ModelName) -> f64 {
     let ready = members.iter().filter(|member| ready_version(member, model).is_some());
     let (work, limit) = ready.fold((0u64, 0u64), |(work, limit), member| {
         (work + u64::from(member.load.work), limit + u64::from(member.load.limit))
--- a/node/src/entry/requests.rs
+++ b/node/src/entry/requests.rs
@@ -1,4 +1,4 @@
-//! One request from its head to the end of its answer.
+//! Handles one request of a caller, from its head to the end of the response.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -17,165 +17,179 @@
 use tokio::time::timeout;
 
 use super::Shared;
-use super::answer;
 use super::claims;
 use super::dispatch;
 use super::dispatch::Failure;
-use super::dispatch::Opened;
+use super::dispatch::OpenResponse;
 use super::parse;
-use super::parse::Parsed;
-use super::parse::Sent;
+use super::parse::ParsedRequest;
+use super::parse::UnresolvedAttempts;
+use super::response;
 use super::router;
-use super::router::Admitted;
-use super::router::Lease;
-use super::router::Refused;
-use crate::callers::AnswerBody;
+use super::router::CustomerPermit;
+use super::router::EndpointPermit;
+use super::router::Rejection;
+use crate::callers::ResponseBody;
 
-/// Failed attempts of one request at most; refused ones cost a turn in the queue instead.
-const MAX_FAILED: u32 = 3;
+/// Maximum number of failed attempts of one request. Refused attempts count separately, as they
+/// only send the request back to the queue.
+const MAX_FAILURES: u32 = 3;
 
-/// Refusals of one request at most, in case that no endpoint ever says where there is room.
-const MAX_REFUSED: u32 = 32;
+/// Maximum number of refused attempts of one request, for the case that load reports never show
+/// which endpoint has capacity.
+const MAX_REFUSALS: u32 = 32;
 
-/// Pause before an attempt that is still running is asked for again.
-const RUNNING_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between queries for an attempt that is still running.
+const RUNNING_QUERY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A second attempt is hedged when no head has come after this many times the usual.
-const HEDGE_AFTER: u32 = 4;
+/// A hedged attempt is sent after this multiple of the average time to the response head.
+const HEDGE_HEAD_TIME_MULTIPLE: u32 = 4;
 
-/// The soonest that a second attempt is hedged.
-const HEDGE_SOONEST: Duration = Duration::from_millis(100);
+/// Minimum delay of a hedged attempt.
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(100);
 
-/// What a sending is given past its deadline to say itself why it ended.
-const DEADLINE_SLACK: Duration = Duration::from_millis(250);
+/// Time past the deadline in which the task of a request can still return its own, more precise
+/// error.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(250);
 
-/// Keeps count of requests in progress, also when the caller leaves.
-pub(super) struct InProgress(Arc<Shared>);
+/// Counts a request as in flight until dropped, so that the count stays correct when the caller
+/// disconnects.
+pub(super) struct InFlightGuard(Arc<Shared>);
 
-impl InProgress {
-    fn begin(shared: &Arc<Shared>) -> InProgress {
-        shared.running.fetch_add(1, Ordering::AcqRel);
-        InProgress(shared.clone())
+impl InFlightGuard {
+    fn begin(shared: &Arc<Shared>) -> InFlightGuard {
+        shared.in_flight.fetch_add(1, Ordering::AcqRel);
+        InFlightGuard(shared.clone())
     }
 }
 
-impl Drop for InProgress {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.running.fetch_sub(1, Ordering::AcqRel);
+        self.0.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// A refusal and what is known of the request.
-struct Refusal {
+/// An error response to the caller, with the outcome of the request as far as it is known.
+struct ErrorReply {
     code: Code,
     outcome: Outcome,
-    after: Duration,
+    retry_after: Duration,
 }
 
-impl From<Refused> for Refusal {
-    fn from(refused: Refused) -> Refusal {
-        let Refused { code, after } = refused;
-        Refusal { code, outcome: code.outcome(), after }
+impl From<Rejection> for ErrorReply {
+    fn from(rejection: Rejection) -> ErrorReply {
+        let Rejection { code, retry_after } = rejection;
+        ErrorReply { code, outcome: code.outcome(), retry_after }
     }
 }
 
-impl From<Code> for Refusal {
-    fn from(code: Code) -> Refusal {
-        Refusal::from(Refused::from(code))
+impl From<Code> for ErrorReply {
+    fn from(code: Code) -> ErrorReply {
+        ErrorReply::from(Rejection::from(code))
     }
 }
 
-/// Answers one request.
-pub(crate) async fn serve(shared: &Arc<Shared>, req: Request<Incoming>) -> Response<AnswerBody> {
-    let in_progress = InProgress::begin(shared);
-    let result = run(shared, req, in_progress).await;
-    result.unwrap_or_else(|refusal| answer::refuse(refusal.code, refusal.outcome, refusal.after))
+/// Returns the response to one request; errors become responses too.
+pub(crate) async fn serve(shared: &Arc<Shared>, req: Request<Incoming>) -> Response<ResponseBody> {
+    let in_flight = InFlightGuard::begin(shared);
+    let result = run(shared, req, in_flight).await;
+    result.unwrap_or_else(|error| response::error(error.code, error.outcome, error.retry_after))
 }
 
 async fn run(
     shared: &Arc<Shared>,
     req: Request<Incoming>,
-    in_progress: InProgress,
-) -> Result<Response<AnswerBody>, Refusal> {
+    in_flight: InFlightGuard,
+) -> Result<Response<ResponseBody>, ErrorReply> {
     let now = shared.clock.now();
-    let keyed = parse::is_keyed(&req);
-    let early = |refused| refused_early(keyed, refused);
-    let parsed = parse::parse(shared, req, now).await.map_err(|code| early(code.into()))?;
+    let has_key = parse::has_idempotency_key(&req);
+    let early_error = |rejection| error_before_claim(has_key, rejection);
+    let parsed = parse::parse(shared, req, now).await.map_err(|code| early_error(code.into()))?;
     if shared.is_stopping() {
-        return Err(early(Code::Stopping.into()));
+        return Err(early_error(Code::Stopping.into()));
     }
-    let admitted = router::admit(shared, &parsed).map_err(early)?;
-    let held = Held { _in_progress: in_progress, _admitted: admitted };
+    let customer_permit = router::admit(shared, &parsed).map_err(early_error)?;
+    let guard = RequestGuard { _in_flight: in_flight, _customer_permit: customer_permit };
     if parsed.idempotent {
-        let sent = parsed.sent.clone();
-        return repeatable(shared, parsed, held).await.map_err(|e| refused_late(&sent, e.into()));
+        let unresolved = parsed.unresolved.clone();
+        return run_idempotent(shared, parsed, guard)
+            .await
+            .map_err(|e| error_after_attempts(&unresolved, e.into()));
     }
-    // A caller that leaves must not stop this half-way: its resend asks what came of it.
-    let _watch = parsed.caller.watch();
+    // Runs to its end when the caller disconnects, because a retry with the same key queries the
+    // result.
+    let _wait_guard = parsed.caller.wait_guard();
     let shared = shared.clone();
-    let left = parsed.deadline.since(shared.clock.now()) + DEADLINE_SLACK;
+    let left = parsed.deadline.since(shared.clock.now()) + DEADLINE_MARGIN;
     let task = tokio::spawn(async move {
-        let result = unrepeatable(&shared, &parsed).await;
-        drop(held);
+        let result = run_non_idempotent(&shared, &parsed).await;
+        drop(guard);
         result
     });
-    // A platform or an agent that hangs must not keep the caller past its deadline. The task goes
-    // on, so that a resend finds out what came of this sending.
+    // A platform or agent that hangs must not delay the caller past its deadline. The task goes on,
+    // so that a retry finds the result of this request.
     let ended = timeout(left, task).await.map_err(|_| Code::DeadlineDuringRun)?;
-    let whole = ended.unwrap_or(Err(Code::EndpointLost.into()))?;
-    Ok(answer::whole(whole)?)
+    let full = ended.unwrap_or(Err(Code::EndpointLost.into()))?;
+    Ok(response::full(full)?)
 }
 
-/// A refusal before the key's claim is known proves only that this sending did not run: an
-/// earlier one under the same key may have, so `not-run` must not be said of the request. That
-/// holds, too, for an entry that cannot read it yet because its configuration is old or missing.
-fn refused_early(keyed: bool, refused: Refused) -> Refusal {
-    let mut refusal = Refusal::from(refused);
-    if keyed && refusal.outcome == Outcome::NotRun {
-        refusal.outcome = Outcome::Unknown;
+/// Converts a rejection from before the claim of the key was read. It proves only that this
+/// submission did not run. An earlier one with the same key may have run, so the outcome must not
+/// be `not-run`. This also applies when the entry cannot process the request because its
+/// configuration is stale or missing.
+fn error_before_claim(has_key: bool, rejection: Rejection) -> ErrorReply {
+    let mut error = ErrorReply::from(rejection);
+    if has_key && error.outcome == Outcome::NotRun {
+        error.outcome = Outcome::Unknown;
     }
-    refusal
+    error
 }
 
-/// A refusal after some attempts: it stands for all of them only when each is proved not to have
-/// run.
-fn refused_late(sent: &Sent, mut refusal: Refusal) -> Refusal {
-    if sent.may_have_run() && refusal.outcome == Outcome::NotRun {
-        refusal.outcome = Outcome::Unknown;
+/// Adjusts the error after some attempts: the outcome is `not-run` only if every attempt is proved
+/// not to have run.
+fn error_after_attempts(unresolved: &UnresolvedAttempts, mut error: ErrorReply) -> ErrorReply {
+    if unresolved.may_have_run() && error.outcome == Outcome::NotRun {
+        error.outcome = Outcome::Unknown;
     }
-    refusal
+    error
 }
 
-async fn unrepeatable(shared: &Arc<Shared>, parsed: &Parsed) -> Result<FullResponse, Refusal> {
+async fn run_non_idempotent(
+    shared: &Arc<Shared>,
+    parsed: &ParsedRequest,
+) -> Result<FullResponse, ErrorReply> {
     let Some(key) = &parsed.key else {
-        return Ok(once(shared, parsed).await?);
+        return Ok(run_without_key(shared, parsed).await?);
     };
     let claimed = claims::serve(shared, parsed, key).await;
-    claimed.result.map_err(|refused| match claimed.not_run || refused.code == Code::KeyReused {
-        true => Refusal::from(refused),
-        false => refused_early(true, refused),
+    claimed.result.map_err(|rejection| match claimed.not_run || rejection.code == Code::KeyReused {
+        true => ErrorReply::from(rejection),
+        false => error_before_claim(true, rejection),
     })
 }
 
-/// Runs a request without a key: it is sent again only after the earlier attempt is proved not to
-/// run.
-async fn once(shared: &Arc<Shared>, parsed: &Parsed) -> Result<FullResponse, Refused> {
-    let mut tries = Tries::default();
+/// Runs a non-idempotent request without a key. It is retried only after the previous attempt is
+/// proved not to have run.
+async fn run_without_key(
+    shared: &Arc<Shared>,
+    parsed: &ParsedRequest,
+) -> Result<FullResponse, Rejection> {
+    let mut history = AttemptHistory::default();
     loop {
-        let lease = tries.next(shared, parsed).await?;
-        let to = lease.to.clone();
-        let attempt = tries.attempt();
-        let failure = match dispatch::run_whole(shared, parsed, lease, attempt).await {
-            Ok(answer) => return Ok(answer),
+        let permit = history.next(shared, parsed).await?;
+        let to = permit.to.clone();
+        let attempt = history.attempt();
+        let failure = match dispatch::run_to_completion(shared, parsed, permit, attempt).await {
+            Ok(response) => return Ok(response),
             Err(failure) => failure,
         };
         if failure.is_not_run() {
-            tries.note(shared, failure.code)?;
+            history.record_failure(shared, failure.code)?;
             continue;
         }
-        match find_out(shared, parsed, &to).await {
-            VoidReply::Voided => tries.note(shared, Code::Voided)?,
-            VoidReply::Ran(Some(answer)) => return Ok(answer),
+        match query_until_ended(shared, parsed, &to).await {
+            VoidReply::Voided => history.record_failure(shared, Code::Voided)?,
+            VoidReply::Ran(Some(response)) => return Ok(response),
             VoidReply::Ran(None) => return Err(Code::AnswerNotKept.into()),
             VoidReply::Running => return Err(Code::DeadlineDuringRun.into()),
             VoidReply::Unknown => return Err(failure.code.into()),
@@ -183,17 +197,17 @@
     }
 }
 
-/// Asks what became of an attempt until it has ended, the deadline has passed, or the agent cannot
-/// tell.
-async fn find_out(
+/// Queries the state of an attempt until it has ended, the deadline has passed, or the agent cannot
+/// determine it.
+async fn query_until_ended(
     shared: &Shared,
-    parsed: &Parsed,
+    parsed: &ParsedRequest,
     to: &mastichaven_core::claim::Dispatch,
 ) -> VoidReply {
     loop {
-        match dispatch::void(shared, to).await {
+        match dispatch::query_attempt(shared, to).await {
             Some(VoidReply::Running) if shared.clock.now() < parsed.deadline => {
-                tokio::time::sleep(RUNNING_PAUSE).await;
+                tokio::time::sleep(RUNNING_QUERY_INTERVAL).await;
             }
             Some(reply) => return reply,
             None => return VoidReply::Unknown,
@@ -201,52 +215,57 @@
     }
 }
 
-/// What a request holds until its answer has ended.
-pub(super) struct Held {
-    _in_progress: InProgress,
-    _admitted: Admitted,
+/// Counts and permits that a request holds until its response has ended.
+pub(super) struct RequestGuard {
+    _in_flight: InFlightGuard,
+    _customer_permit: CustomerPermit,
 }
 
-/// The attempts of one request so far.
+/// Record of the attempts of one request.
 #[derive(Debug, Default)]
-pub(super) struct Tries {
-    hosts: Vec<HostName>,
+pub(super) struct AttemptHistory {
+    tried: Vec<HostName>,
     attempts: u32,
-    failed: u32,
-    refused: u32,
+    failures: u32,
+    refusals: u32,
 }
 
-impl Tries {
-    /// Waits for an endpoint for the next attempt.
-    async fn next(&mut self, shared: &Arc<Shared>, parsed: &Parsed) -> Result<Lease, Refused> {
-        let again = self.attempts > 0;
-        let lease = router::acquire(shared, parsed, &self.hosts, again).await?;
+impl AttemptHistory {
+    /// Waits for a permit for the next attempt.
+    async fn next(
+        &mut self,
+        shared: &Arc<Shared>,
+        parsed: &ParsedRequest,
+    ) -> Result<EndpointPermit, Rejection> {
+        let is_retry = self.attempts > 0;
+        let permit = router::acquire(shared, parsed, &self.tried, is_retry).await?;
         self.attempts += 1;
-        self.hosts.push(lease.to.agent.clone());
-        Ok(lease)
+        self.tried.push(permit.to.agent.clone());
+        Ok(permit)
     }
 
     fn attempt(&self) -> Attempt {
         Attempt(self.attempts)
     }
 
-    /// Notes that an attempt failed or was refused; an error when no other may follow.
+    /// Records a failed or refused attempt. Returns an error if no further attempt is allowed.
     ///
-    /// A refusal cost the endpoint nothing and the request keeps its turn; a failure is repeated
-    /// within the retry budget, so that a zone that goes does not multiply the load on the others.
-    fn note(&mut self, shared: &Shared, code: Code) -> Result<(), Refused> {
+    /// A refusal costs the endpoint nothing, and the request keeps its position in the queue.
+    /// Retries of failures are limited by the retry budget, so that the loss of a zone does not
+    /// multiply the load on the others.
+    fn record_failure(&mut self, shared: &Shared, code: Code) -> Result<(), Rejection> {
         if matches!(
             code,
             Code::Busy | Code::EndpointClosed | Code::EndpointFull | Code::WrongVersion
         ) {
-            self.refused += 1;
-            return if self.refused < MAX_REFUSED { Ok(()) } else { Err(code.into()) };
+            self.refusals += 1;
+            return if self.refusals < MAX_REFUSALS { Ok(()) } else { Err(code.into()) };
         }
-        self.failed += 1;
-        if self.failed >= MAX_FAILED || code == Code::Quarantined {
+        self.failures += 1;
+        if self.failures >= MAX_FAILURES || code == Code::Quarantined {
             return Err(code.into());
         }
-        if router::may_retry(shared) {
+        if router::try_withdraw_retry(shared) {
             return Ok(());
         }
         let code = if code.outcome() == Outcome::NotRun { Code::RetryBudget } else { code };
@@ -254,69 +273,69 @@
     }
 }
 
-/// The attempts of one repeatable request.
+/// A request that may run more than once, with its attempts.
 #[derive(Debug, Default)]
-pub(super) struct Journey {
-    tries: Tries,
+pub(super) struct RetryableRequest {
+    history: AttemptHistory,
 }
 
-impl Journey {
-    /// Opens an answer that goes on after `tokens`, on the first endpoint that gives one.
+impl RetryableRequest {
+    /// Opens a response that continues after `received_tokens` tokens, retrying on other endpoints.
     pub(super) async fn open(
         &mut self,
         shared: &Arc<Shared>,
-        parsed: &mut Parsed,
-        tokens: u64,
-    ) -> Result<Opened, Refused> {
+        parsed: &mut ParsedRequest,
+        received_tokens: u64,
+    ) -> Result<OpenResponse, Rejection> {
         loop {
-            if tokens == 0 {
+            if received_tokens == 0 {
                 parse::refresh_version(shared, parsed)?;
             }
             let version = parsed.version;
-            let lease = match self.tries.next(shared, parsed).await {
-                Ok(lease) => lease,
-                Err(refused) if refused.code == Code::NoEndpoint && tokens == 0 => {
+            let permit = match self.history.next(shared, parsed).await {
+                Ok(permit) => permit,
+                Err(rejection) if rejection.code == Code::NoEndpoint && received_tokens == 0 => {
                     parse::refresh_version(shared, parsed)?;
                     if parsed.version == version {
-                        return Err(refused);
+                        return Err(rejection);
                     }
                     continue;
                 }
-                Err(refused) => return Err(refused),
+                Err(rejection) => return Err(rejection),
             };
-            match self.open_hedged(shared, parsed, lease, tokens).await {
+            match self.open_hedged(shared, parsed, permit, received_tokens).await {
                 Ok(opened) => return Ok(opened),
-                Err(failure) => self.tries.note(shared, failure.code)?,
+                Err(failure) => self.history.record_failure(shared, failure.code)?,
             }
         }
     }
 
-    /// Opens one attempt, and a second one beside it when no head comes in the usual time and the
-    /// retry budget allows it. The one whose head comes first goes on; dropping the other cancels
-    /// it at its endpoint.
+    /// Opens one attempt. If its head takes much longer than the average and the retry budget
+    /// allows it, opens a hedged second attempt. The attempt whose head arrives first continues;
+    /// dropping the other one cancels it at its endpoint.
     async fn open_hedged(
         &mut self,
         shared: &Arc<Shared>,
-        parsed: &Parsed,
-        lease: Lease,
-        tokens: u64,
-    ) -> Result<Opened, Failure> {
-        let attempt = self.tries.attempt();
-        let mut first = pin!(dispatch::open(shared, parsed, lease, attempt, tokens));
-        let Some(usual) = router::usual_head(shared, parsed) else {
+        parsed: &ParsedRequest,
+        permit: EndpointPermit,
+        received_tokens: u64,
+    ) -> Result<OpenResponse, Failure> {
+        let attempt = self.history.attempt();
+        let mut first = pin!(dispatch::open(shared, parsed, permit, attempt, received_tokens));
+        let Some(average) = router::average_head_time(shared, parsed) else {
             return first.await;
         };
-        let wait = (usual * HEDGE_AFTER).max(HEDGE_SOONEST);
-        if let Ok(opened) = timeout(wait, &mut first).await {
+        let hedge_delay = (average * HEDGE_HEAD_TIME_MULTIPLE).max(MIN_HEDGE_DELAY);
+        if let Ok(opened) = timeout(hedge_delay, &mut first).await {
             return opened;
         }
-        let Some(lease) = router::acquire_now(shared, parsed, &self.tries.hosts) else {
+        let Some(permit) = router::try_acquire(shared, parsed, &self.history.tried) else {
             return first.await;
         };
-        self.tries.attempts += 1;
-        self.tries.hosts.push(lease.to.agent.clone());
-        let attempt = self.tries.attempt();
-        let mut second = pin!(dispatch::open(shared, parsed, lease, attempt, tokens));
+        self.history.attempts += 1;
+        self.history.tried.push(permit.to.agent.clone());
+        let attempt = self.history.attempt();
+        let mut second = pin!(dispatch::open(shared, parsed, permit, attempt, received_tokens));
         tokio::select! {
             opened = &mut first => match opened {
                 Ok(opened) => Ok(opened),
@@ -330,20 +349,20 @@
     }
 }
 
-async fn repeatable(
+async fn run_idempotent(
     shared: &Arc<Shared>,
-    mut parsed: Parsed,
-    held: Held,
-) -> Result<Response<AnswerBody>, Refused> {
-    let mut journey = Journey::default();
+    mut parsed: ParsedRequest,
+    guard: RequestGuard,
+) -> Result<Response<ResponseBody>, Rejection> {
+    let mut retryable = RetryableRequest::default();
     loop {
-        let opened = journey.open(shared, &mut parsed, 0).await?;
+        let opened = retryable.open(shared, &mut parsed, 0).await?;
         if opened.is_stream() {
-            return Ok(answer::stream(shared, parsed, opened, journey, held)?);
+            return Ok(response::stream(shared, parsed, opened, retryable, guard)?);
         }
-        match opened.gather().await {
-            Ok(whole) => return Ok(answer::whole(whole)?),
-            Err(failure) => journey.tries.note(shared, failure.code)?,
+        match opened.read_full().await {
+            Ok(full) => return Ok(response::full(full)?),
+            Err(failure) => retryable.history.record_failure(shared, failure.code)?,
         }
     }
 }
--- a/node/src/entry/router.rs
+++ b/node/src/entry/router.rs
@@ -1,6 +1,7 @@
-//! Turns and endpoints: limits of customers, the queue of each service, and who goes where.
+//! Admission control and routing: limits per customer, a queue per service, and the choice of
+//! endpoints.
 //!
-//! One lock guards it all; every step under it is short and bounded.
+//! One lock guards all state; each operation under it is short and bounded.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -39,168 +40,168 @@
 use tokio::sync::oneshot;
 
 use super::Shared;
-use super::parse::Parsed;
+use super::parse::ParsedRequest;
 
-/// How old an entry's picture of the members may be. It is rebuilt this often however many
-/// requests come, so that the cost of a request does not grow with the fleet.
-const FRESH_FOR: Duration = Duration::from_millis(100);
+/// Interval at which the state is updated from the member list. It does not depend on the request
+/// rate, so that the cost of a request does not grow with the number of hosts.
+const MEMBERS_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a queue looks for room that nobody reported.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval at which a queue checks for capacity that no load report announced.
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// `Retry-After` when nothing better is known.
-const USUAL_AFTER: Duration = Duration::from_secs(1);
+/// Value of `Retry-After` when no better estimate is known.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Weight of one answer in the running average of the time to the head.
-const RECENT: f64 = 0.05;
+/// Weight of one response in the moving average of the time to the response head.
+const HEAD_TIME_EWMA_WEIGHT: f64 = 0.05;
 
-/// A refusal, and when the caller should come back.
+/// A rejected request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Refused {
-    /// Why.
+pub(super) struct Rejection {
+    /// The reason.
     pub(super) code: Code,
-    /// When to come back.
-    pub(super) after: Duration,
+    /// Delay after which the caller should retry.
+    pub(super) retry_after: Duration,
 }
 
-impl From<Code> for Refused {
-    fn from(code: Code) -> Refused {
-        Refused { code, after: USUAL_AFTER }
+impl From<Code> for Rejection {
+    fn from(code: Code) -> Rejection {
+        Rejection { code, retry_after: DEFAULT_RETRY_AFTER }
     }
 }
 
-/// What endpoints can answer for one another: a service at one version.
+/// Identifies a set of interchangeable endpoints: a service, at one version if it serves a model.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct LineKey {
+struct BackendKey {
     service: ServiceName,
     version: Option<Digest>,
 }
 
-/// The endpoints of a service and who waits for them.
+/// The endpoints of a service and the requests queued for them.
 #[derive(Default)]
-struct Line {
+struct Backend {
     pool: Pool,
     queue: FairQueue<Waiter>,
     reserve: Reserve,
-    is_ticking: bool,
-    head_seconds: Option<f64>,
+    is_polled: bool,
+    avg_head_seconds: Option<f64>,
 }
 
 struct Waiter {
     prefix: Option<Digest>,
     tried: Vec<HostName>,
-    grant: oneshot::Sender<Result<Lease, Code>>,
+    grant: oneshot::Sender<Result<EndpointPermit, Code>>,
 }
 
 #[derive(Default)]
 struct State {
-    lines: HashMap<LineKey, Line>,
+    backends: HashMap<BackendKey, Backend>,
     versions: HashMap<ModelName, Digest>,
-    rates: HashMap<CustomerName, TokenBucket>,
-    running: HashMap<CustomerName, u32>,
-    budget: RetryBudget,
+    rate_limiters: HashMap<CustomerName, TokenBucket>,
+    in_flight: HashMap<CustomerName, u32>,
+    retry_budget: RetryBudget,
     members: Arc<Vec<Member>>,
     entries: Option<EntrySet>,
-    refreshed: Option<Time>,
+    refreshed_at: Option<Time>,
     generation: Generation,
 }
 
-/// Decides who goes where and when.
+/// Admits requests and assigns them to endpoints.
 #[derive(Default)]
 pub(super) struct Router {
     state: Mutex<State>,
 }
 
-/// The place of a request within its customer's limits; given back when dropped.
-pub(super) struct Admitted {
+/// Counts a request towards the concurrency limit of its customer; released when dropped.
+pub(super) struct CustomerPermit {
     shared: Arc<Shared>,
     customer: CustomerName,
 }
 
-impl Drop for Admitted {
+impl Drop for CustomerPermit {
     fn drop(&mut self) {
         let mut state = lock(&self.shared);
-        if let Some(running) = state.running.get_mut(&self.customer) {
-            *running = running.saturating_sub(1);
+        if let Some(in_flight) = state.in_flight.get_mut(&self.customer) {
+            *in_flight = in_flight.saturating_sub(1);
         }
     }
 }
 
-/// An endpoint that a request may be sent to once; given back when dropped.
-pub(super) struct Lease {
-    /// The attempt it stands for.
+/// Permits one attempt at an endpoint; released when dropped.
+pub(super) struct EndpointPermit {
+    /// The attempt, with the agent that it is sent to.
     pub(super) to: Dispatch,
     shared: Arc<Shared>,
-    key: LineKey,
+    key: BackendKey,
     customer: CustomerName,
-    ended: AttemptResult,
-    since: Time,
+    result: AttemptResult,
+    acquired_at: Time,
 }
 
-impl Lease {
-    /// The entry it belongs to.
+impl EndpointPermit {
+    /// The state of the entry that issued it.
     pub(super) fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Notes the load that the agent reported.
-    pub(super) fn report(&self, load: Load) {
+    /// Records the load that the agent reported with a frame.
+    pub(super) fn record_load(&self, load: Load) {
         let now = self.shared.clock.now();
-        if let Some(line) = lock(&self.shared).lines.get_mut(&self.key) {
-            line.pool.record_load(&self.to.agent, load, now);
+        if let Some(backend) = lock(&self.shared).backends.get_mut(&self.key) {
+            backend.pool.record_load(&self.to.agent, load, now);
         }
     }
 
-    /// Notes that the agent had no room or was closed.
-    pub(super) fn refused(&mut self) {
-        self.ended = AttemptResult::Refused;
+    /// Records that the agent refused the attempt, as full or closed.
+    pub(super) fn record_refusal(&mut self) {
+        self.result = AttemptResult::Refused;
         let now = self.shared.clock.now();
-        if let Some(line) = lock(&self.shared).lines.get_mut(&self.key) {
-            line.pool.record_refusal(&self.to.agent, now, &mut rand::rng());
+        if let Some(backend) = lock(&self.shared).backends.get_mut(&self.key) {
+            backend.pool.record_refusal(&self.to.agent, now, &mut rand::rng());
         }
     }
 
-    /// Notes that the head of the answer is here.
-    pub(super) fn head(&self) {
-        let seconds = self.shared.clock.now().since(self.since).as_secs_f64();
-        if let Some(line) = lock(&self.shared).lines.get_mut(&self.key) {
-            let old = line.head_seconds.unwrap_or(seconds);
-            line.head_seconds = Some(old + (seconds - old) * RECENT);
+    /// Records the time to the response head, which has just arrived.
+    pub(super) fn record_head(&self) {
+        let seconds = self.shared.clock.now().since(self.acquired_at).as_secs_f64();
+        if let Some(backend) = lock(&self.shared).backends.get_mut(&self.key) {
+            let old = backend.avg_head_seconds.unwrap_or(seconds);
+            backend.avg_head_seconds = Some(old + (seconds - old) * HEAD_TIME_EWMA_WEIGHT);
         }
     }
 
-    /// Notes how the attempt ended, before the lease is dropped.
-    pub(super) fn set_ended(&mut self, ended: AttemptResult) {
-        self.ended = ended;
+    /// Sets the result that is reported to routing when the permit is dropped.
+    pub(super) fn set_result(&mut self, result: AttemptResult) {
+        self.result = result;
     }
 
-    /// Notes why the attempt gave no whole answer. An agent that refuses is sound, and has said so
-    /// already; one out of reach is not.
-    pub(super) fn note_failure(&mut self, code: Code) {
+    /// Records why the attempt returned no complete response. A refusal proves that the agent is
+    /// healthy; a failure, or an agent that cannot be reached, counts towards ejection.
+    pub(super) fn record_failure(&mut self, code: Code) {
         if code == Code::Quarantined {
             return;
         }
-        let is_sound = code.outcome() == Outcome::NotRun && code != Code::Unreachable;
-        if is_sound {
-            self.refused();
+        let is_healthy = code.outcome() == Outcome::NotRun && code != Code::Unreachable;
+        if is_healthy {
+            self.record_refusal();
         } else {
-            self.ended = AttemptResult::Failed;
+            self.result = AttemptResult::Failed;
         }
     }
 }
 
-impl Drop for Lease {
+impl Drop for EndpointPermit {
     fn drop(&mut self) {
         let limit = self.shared.documents.in_force().config.limits.eject_share;
         let now = self.shared.clock.now();
         let mut state = lock(&self.shared);
-        if let Some(line) = state.lines.get_mut(&self.key) {
-            line.pool.record_result(&self.to.agent, self.ended, limit, now);
-            line.reserve.release(&self.customer);
+        if let Some(backend) = state.backends.get_mut(&self.key) {
+            backend.pool.record_result(&self.to.agent, self.result, limit, now);
+            backend.reserve.release(&self.customer);
         }
-        let unused = pump(&self.shared, &mut state, &self.key, now);
+        let unclaimed = grant_queued(&self.shared, &mut state, &self.key, now);
         drop(state);
-        drop(unused);
+        drop(unclaimed);
     }
 }
 
@@ -208,43 +209,48 @@
     shared.router.state.lock().expect("no holder of this lock panics")
 }
 
-/// Takes a request in within its customer's limits.
-pub(super) fn admit(shared: &Arc<Shared>, parsed: &Parsed) -> Result<Admitted, Refused> {
+/// Admits a request if it is within the rate and concurrency limits of its customer.
+pub(super) fn admit(
+    shared: &Arc<Shared>,
+    parsed: &ParsedRequest,
+) -> Result<CustomerPermit, Rejection> {
     let in_force = shared.documents.in_force();
     let customer = in_force.config.customer.get(&parsed.customer).ok_or(Code::UnknownCustomer)?;
     let now = shared.clock.now();
     let mut state = lock(shared);
-    refresh(shared, &mut state, now);
-    let entries = state.entries.as_ref().map_or(1, EntrySet::len);
-    let concurrent = limits::concurrency_share(customer.concurrent, entries);
-    if state.running.get(&parsed.customer).is_some_and(|running| *running >= concurrent) {
+    refresh_state(shared, &mut state, now);
+    let entry_count = state.entries.as_ref().map_or(1, EntrySet::len);
+    let concurrent = limits::concurrency_share(customer.concurrent, entry_count);
+    if state.in_flight.get(&parsed.customer).is_some_and(|in_flight| *in_flight >= concurrent) {
         return Err(Code::CustomerLimit.into());
     }
-    let per_second = limits::rate_share(customer.requests_per_second, entries);
-    let rate = state.rates.entry(parsed.customer.clone()).or_insert_with(|| TokenBucket::new(now));
-    rate.try_take(per_second, now).map_err(|after| Refused { code: Code::CustomerLimit, after })?;
-    *state.running.entry(parsed.customer.clone()).or_default() += 1;
-    state.budget.deposit(in_force.config.limits.retry_share);
-    Ok(Admitted { shared: shared.clone(), customer: parsed.customer.clone() })
+    let per_second = limits::rate_share(customer.requests_per_second, entry_count);
+    let rate_limiter =
+        state.rate_limiters.entry(parsed.customer.clone()).or_insert_with(|| TokenBucket::new(now));
+    rate_limiter
+        .try_take(per_second, now)
+        .map_err(|retry_after| Rejection { code: Code::CustomerLimit, retry_after })?;
+    *state.in_flight.entry(parsed.customer.clone()).or_default() += 1;
+    state.retry_budget.deposit(in_force.config.limits.retry_share);
+    Ok(CustomerPermit { shared: shared.clone(), customer: parsed.customer.clone() })
 }
 
-/// Takes one further attempt from the retry budget.
-pub(super) fn may_retry(shared: &Shared) -> bool {
-    lock(shared).budget.try_withdraw()
+/// Withdraws one retry from the retry budget; false if the budget is exhausted.
+pub(super) fn try_withdraw_retry(shared: &Shared) -> bool {
+    lock(shared).retry_budget.try_withdraw()
 }
 
-/// The time after which an attempt without a head is unusually slow; `None` while nothing is
-/// known.
-pub(super) fn usual_head(shared: &Shared, parsed: &Parsed) -> Option<Duration> {
-    let seconds = lock(shared).lines.get(&key_of(parsed))?.head_seconds?;
+/// Returns the average time to the response head; `None` before the first response.
+pub(super) fn average_head_time(shared: &Shared, parsed: &ParsedRequest) -> Option<Duration> {
+    let seconds = lock(shared).backends.get(&backend_key(parsed))?.avg_head_seconds?;
     Some(Duration::from_secs_f64(seconds))
 }
 
-/// The version of a model that is answered from.
-pub(super) fn version_of(shared: &Shared, name: &ModelName) -> Result<Digest, Code> {
+/// Returns the version of a model that new requests are routed to.
+pub(super) fn serving_version(shared: &Shared, name: &ModelName) -> Result<Digest, Code> {
     let in_force = shared.documents.in_force();
     let mut state = lock(shared);
-    refresh(shared, &mut state, shared.clock.now());
+    refresh_state(shared, &mut state, shared.clock.now());
     if let Some(version) = state.versions.get(name) {
         return Ok(*version);
     }
@@ -252,144 +258,152 @@
     let version = in_force.config.version.get(&model.serve).ok_or(Code::NoRoute)?;
     let configured = Digest::from_hex(&version.manifest).ok_or(Code::NoRoute)?;
     let plan = shared.documents.plan(name).map(|(_, plan)| plan);
-    let is_ready = |wanted: Digest| {
-        state.members.iter().any(|member| !member.leaving && serves_version(member, wanted))
+    let is_ready = |version_digest: Digest| {
+        state.members.iter().any(|member| !member.leaving && serves_version(member, version_digest))
     };
     let version = routable_version(plan.as_ref(), configured, is_ready);
     state.versions.insert(name.clone(), version);
     Ok(version)
 }
 
-fn serves_version(member: &Member, wanted: Digest) -> bool {
-    matches!(&member.serving, Serving::Model { version, .. } if *version == wanted)
+fn serves_version(member: &Member, version_digest: Digest) -> bool {
+    matches!(&member.serving, Serving::Model { version, .. } if *version == version_digest)
 }
 
-fn key_of(parsed: &Parsed) -> LineKey {
-    LineKey { service: parsed.service.clone(), version: parsed.version }
+fn backend_key(parsed: &ParsedRequest) -> BackendKey {
+    BackendKey { service: parsed.service.clone(), version: parsed.version }
 }
 
-/// Waits for the request's turn and an endpoint. `tried` are avoided while others have room;
-/// `again` puts a request that was here before in front of its customer's others.
+/// Waits in the queue for a permit. The hosts in `tried` are avoided while others have capacity. A
+/// retry is queued before the other requests of its customer.
 pub(super) async fn acquire(
     shared: &Arc<Shared>,
-    parsed: &Parsed,
+    parsed: &ParsedRequest,
     tried: &[HostName],
-    again: bool,
-) -> Result<Lease, Refused> {
-    let key = key_of(parsed);
-    let rx = match enqueue(shared, parsed, &key, tried, again)? {
-        Turn::Now(to) => return Ok(lease(shared, key, &parsed.customer, to)),
-        Turn::Later(rx) => rx,
+    is_retry: bool,
+) -> Result<EndpointPermit, Rejection> {
+    let key = backend_key(parsed);
+    let rx = match enqueue(shared, parsed, &key, tried, is_retry)? {
+        Acquisition::Immediate(to) => return Ok(new_permit(shared, key, &parsed.customer, to)),
+        Acquisition::Queued(rx) => rx,
     };
     let left = parsed.deadline.since(shared.clock.now());
     match tokio::time::timeout(left, rx).await {
         Ok(Ok(granted)) => Ok(granted?),
-        Ok(Err(_)) => Err(Refused { code: Code::Shed, after: expected_wait(shared, parsed) }),
+        Ok(Err(_)) => {
+            Err(Rejection { code: Code::Shed, retry_after: expected_wait(shared, parsed) })
+        }
         Err(_) => Err(Code::DeadlineBeforeRun.into()),
     }
 }
 
-/// An endpoint with room for a hedged attempt, within the retry budget and only while nobody
-/// waits; never one of `tried`.
-pub(super) fn acquire_now(
+/// Returns a permit for a hedged attempt without waiting. `None` if requests are queued, no
+/// endpoint outside `tried` has capacity, or the retry budget is exhausted.
+pub(super) fn try_acquire(
     shared: &Arc<Shared>,
-    parsed: &Parsed,
+    parsed: &ParsedRequest,
     tried: &[HostName],
-) -> Option<Lease> {
-    let key = key_of(parsed);
+) -> Option<EndpointPermit> {
+    let key = backend_key(parsed);
     let now = shared.clock.now();
     let mut state = lock(shared);
-    let State { lines, budget, .. } = &mut *state;
-    let line = lines.get_mut(&key)?;
-    if !line.queue.is_empty() || !line.pool.has_capacity(now) || !budget.try_withdraw() {
+    let State { backends, retry_budget, .. } = &mut *state;
+    let backend = backends.get_mut(&key)?;
+    if !backend.queue.is_empty() || !backend.pool.has_capacity(now) || !retry_budget.try_withdraw()
+    {
         return None;
     }
-    let endpoint = line.pool.pick(parsed.prefix, tried, now, &mut rand::rng())?.clone();
-    let to = dispatch_to(shared, endpoint);
-    line.reserve.acquire(&parsed.customer);
+    let endpoint = backend.pool.pick(parsed.prefix, tried, now, &mut rand::rng())?.clone();
+    let to = new_dispatch(shared, endpoint);
+    backend.reserve.acquire(&parsed.customer);
     drop(state);
-    Some(lease(shared, key, &parsed.customer, to))
+    Some(new_permit(shared, key, &parsed.customer, to))
 }
 
-fn lease(shared: &Arc<Shared>, key: LineKey, customer: &CustomerName, to: Dispatch) -> Lease {
+fn new_permit(
+    shared: &Arc<Shared>,
+    key: BackendKey,
+    customer: &CustomerName,
+    to: Dispatch,
+) -> EndpointPermit {
     let customer = customer.clone();
-    Lease {
+    EndpointPermit {
         to,
         shared: shared.clone(),
         key,
         customer,
-        ended: AttemptResult::Inconclusive,
-        since: shared.clock.now(),
+        result: AttemptResult::Inconclusive,
+        acquired_at: shared.clock.now(),
     }
 }
 
-fn expected_wait(shared: &Shared, parsed: &Parsed) -> Duration {
+fn expected_wait(shared: &Shared, parsed: &ParsedRequest) -> Duration {
     let state = lock(shared);
-    let line = state.lines.get(&key_of(parsed));
-    line.map_or(USUAL_AFTER, |line| line.queue.expected_wait(&parsed.customer))
+    let backend = state.backends.get(&backend_key(parsed));
+    backend.map_or(DEFAULT_RETRY_AFTER, |backend| backend.queue.expected_wait(&parsed.customer))
 }
 
-/// Services with their endpoints and queues, for the dump.
+/// Returns the state of all services, their endpoints and queues, for the dump.
 pub(super) fn dump(shared: &Shared) -> Value {
     let now = shared.clock.now();
     let state = lock(shared);
-    let line = |(key, line): (&LineKey, &Line)| {
+    let backend = |(key, backend): (&BackendKey, &Backend)| {
         json!({
             "service": key.service,
             "version": key.version.map(Digest::to_hex),
-            "endpoints": line.pool.len(),
-            "places": line.pool.total_slots(),
-            "places_free": line.pool.free_slots(now),
-            "in_progress": line.pool.in_flight(),
-            "waiting": line.queue.len(),
-            "usual_head_ms": line.head_seconds.map(|seconds| seconds * 1_000.0),
+            "endpoints": backend.pool.len(),
+            "places": backend.pool.total_slots(),
+            "places_free": backend.pool.free_slots(now),
+            "in_progress": backend.pool.in_flight(),
+            "waiting": backend.queue.len(),
+            "usual_head_ms": backend.avg_head_seconds.map(|seconds| seconds * 1_000.0),
         })
     };
-    Value::Array(state.lines.iter().map(line).collect())
+    Value::Array(state.backends.iter().map(backend).collect())
 }
 
-enum Turn {
-    Now(Dispatch),
-    Later(oneshot::Receiver<Result<Lease, Code>>),
+enum Acquisition {
+    Immediate(Dispatch),
+    Queued(oneshot::Receiver<Result<EndpointPermit, Code>>),
 }
 
 fn enqueue(
     shared: &Arc<Shared>,
-    parsed: &Parsed,
-    key: &LineKey,
+    parsed: &ParsedRequest,
+    key: &BackendKey,
     tried: &[HostName],
-    again: bool,
-) -> Result<Turn, Refused> {
+    is_retry: bool,
+) -> Result<Acquisition, Rejection> {
     let in_force = shared.documents.in_force();
     let now = shared.clock.now();
     let mut state = lock(shared);
-    refresh(shared, &mut state, now);
-    if !state.lines.contains_key(key) {
-        let mut line = Line::default();
+    refresh_state(shared, &mut state, now);
+    if !state.backends.contains_key(key) {
+        let mut backend = Backend::default();
         if let Some(entries) = &state.entries {
-            refresh_line(&mut line, &state.members, entries, &in_force.config, key, now);
+            refresh_backend(&mut backend, &state.members, entries, &in_force.config, key, now);
         }
-        state.lines.insert(key.clone(), line);
+        state.backends.insert(key.clone(), backend);
     }
-    let entries = state.entries.as_ref().map_or(1, EntrySet::len);
-    let line = state.lines.get_mut(key).expect("it was just put there");
-    if line.pool.is_empty() {
+    let entry_count = state.entries.as_ref().map_or(1, EntrySet::len);
+    let backend = state.backends.get_mut(key).expect("inserted above if it was missing");
+    if backend.pool.is_empty() {
         return Err(Code::NoEndpoint.into());
     }
-    line.reserve.record_request(&parsed.customer, now);
-    if line.queue.is_empty()
-        && may_take(line, &parsed.customer, entries, now)
-        && let Some(to) = pick(shared, &mut line.pool, parsed.prefix, tried, now)
+    backend.reserve.record_request(&parsed.customer, now);
+    if backend.queue.is_empty()
+        && may_acquire(backend, &parsed.customer, entry_count, now)
+        && let Some(to) = pick_endpoint(shared, &mut backend.pool, parsed.prefix, tried, now)
     {
-        line.reserve.acquire(&parsed.customer);
-        return Ok(Turn::Now(to));
+        backend.reserve.acquire(&parsed.customer);
+        return Ok(Acquisition::Immediate(to));
     }
-    let wait = line.queue.expected_wait(&parsed.customer);
-    if !again && wait > parsed.deadline.since(now) {
-        return Err(Refused { code: Code::Shed, after: wait });
+    let wait = backend.queue.expected_wait(&parsed.customer);
+    if !is_retry && wait > parsed.deadline.since(now) {
+        return Err(Rejection { code: Code::Shed, retry_after: wait });
     }
     let (grant, rx) = oneshot::channel();
-    let waiting = QueuedItem {
+    let queued = QueuedItem {
         item: Waiter { prefix: parsed.prefix, tried: tried.to_vec(), grant },
         customer: parsed.customer.clone(),
         work: parsed.work,
@@ -397,79 +411,88 @@
         deadline: parsed.deadline,
     };
     let weight = in_force.config.customer.get(&parsed.customer).map_or(1, |c| c.weight);
-    let max = usize::try_from(in_force.config.limits.queue_len).unwrap_or(usize::MAX);
-    // What is shed learns of it by its dropped grant.
-    drop(line.queue.push(waiting, weight, again, max));
-    if !std::mem::replace(&mut line.is_ticking, true) {
-        tokio::spawn(tick(shared.clone(), key.clone()));
+    let max_len = usize::try_from(in_force.config.limits.queue_len).unwrap_or(usize::MAX);
+    // A request that is shed is notified by the drop of its sender.
+    drop(backend.queue.push(queued, weight, is_retry, max_len));
+    if !std::mem::replace(&mut backend.is_polled, true) {
+        tokio::spawn(poll_queue(shared.clone(), key.clone()));
     }
-    Ok(Turn::Later(rx))
+    Ok(Acquisition::Queued(rx))
 }
 
-async fn tick(shared: Arc<Shared>, key: LineKey) {
+async fn poll_queue(shared: Arc<Shared>, key: BackendKey) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(QUEUE_POLL_INTERVAL).await;
         let now = shared.clock.now();
         let mut state = lock(&shared);
-        refresh(&shared, &mut state, now);
-        let unused = pump(&shared, &mut state, &key, now);
-        let Some(line) = state.lines.get_mut(&key) else {
+        refresh_state(&shared, &mut state, now);
+        let unclaimed = grant_queued(&shared, &mut state, &key, now);
+        let Some(backend) = state.backends.get_mut(&key) else {
             return;
         };
-        if line.pool.is_empty() {
-            // Zone out or the last endpoint gone: those that wait are told at once.
-            let mut late = Vec::new();
-            while let Some(waiting) = line.queue.pop(now, &mut late) {
-                let _ = waiting.item.grant.send(Err(Code::NoEndpoint));
+        if backend.pool.is_empty() {
+            // The zone was taken out of service or the last endpoint left: reject queued requests
+            // at once instead of at their deadlines.
+            let mut expired = Vec::new();
+            while let Some(queued) = backend.queue.pop(now, &mut expired) {
+                let _ = queued.item.grant.send(Err(Code::NoEndpoint));
             }
         }
-        let is_over = line.queue.is_empty();
-        line.is_ticking = !is_over;
+        let is_done = backend.queue.is_empty();
+        backend.is_polled = !is_done;
         drop(state);
-        drop(unused);
-        if is_over {
+        drop(unclaimed);
+        if is_done {
             return;
         }
     }
 }
 
-fn may_take(line: &Line, customer: &CustomerName, entries: usize, now: Time) -> bool {
-    let (free, places) = (line.pool.free_slots(now), line.pool.total_slots());
-    line.reserve.may_acquire(customer, free, places, entries, now)
+fn may_acquire(backend: &Backend, customer: &CustomerName, entry_count: usize, now: Time) -> bool {
+    let (free, slots) = (backend.pool.free_slots(now), backend.pool.total_slots());
+    backend.reserve.may_acquire(customer, free, slots, entry_count, now)
 }
 
-/// Gives those that wait their turns while there is room. Leases that nobody took are given back
-/// to be dropped without the lock, which their drop takes.
-fn pump(shared: &Arc<Shared>, state: &mut State, key: &LineKey, now: Time) -> Vec<Lease> {
-    let mut unused = Vec::new();
-    let entries = state.entries.as_ref().map_or(1, EntrySet::len);
-    let Some(line) = state.lines.get_mut(key) else {
-        return unused;
+/// Grants permits to queued requests while there is capacity. Returns the permits whose requests
+/// have ended. The caller drops them after releasing the lock, as their drop acquires it.
+fn grant_queued(
+    shared: &Arc<Shared>,
+    state: &mut State,
+    key: &BackendKey,
+    now: Time,
+) -> Vec<EndpointPermit> {
+    let mut unclaimed = Vec::new();
+    let entry_count = state.entries.as_ref().map_or(1, EntrySet::len);
+    let Some(backend) = state.backends.get_mut(key) else {
+        return unclaimed;
     };
-    let mut late = Vec::new();
-    while line.pool.has_capacity(now)
-        && line.queue.next_customer().is_some_and(|next| may_take(line, next, entries, now))
+    let mut expired = Vec::new();
+    while backend.pool.has_capacity(now)
+        && backend
+            .queue
+            .next_customer()
+            .is_some_and(|next| may_acquire(backend, next, entry_count, now))
     {
-        let Some(waiting) = line.queue.pop(now, &mut late) else {
+        let Some(queued) = backend.queue.pop(now, &mut expired) else {
             break;
         };
-        let Waiter { prefix, tried, grant } = waiting.item;
+        let Waiter { prefix, tried, grant } = queued.item;
         if grant.is_closed() {
             continue;
         }
-        let Some(to) = pick(shared, &mut line.pool, prefix, &tried, now) else {
+        let Some(to) = pick_endpoint(shared, &mut backend.pool, prefix, &tried, now) else {
             break;
         };
-        line.reserve.acquire(&waiting.customer);
-        let granted = lease(shared, key.clone(), &waiting.customer, to);
-        if let Err(Ok(lease)) = grant.send(Ok(granted)) {
-            unused.push(lease);
+        backend.reserve.acquire(&queued.customer);
+        let granted = new_permit(shared, key.clone(), &queued.customer, to);
+        if let Err(Ok(permit)) = grant.send(Ok(granted)) {
+            unclaimed.push(permit);
         }
     }
-    unused
+    unclaimed
 }
 
-fn pick(
+fn pick_endpoint(
     shared: &Shared,
     pool: &mut Pool,
     prefix: Option<Digest>,
@@ -482,57 +505,57 @@
         None if tried.is_empty() => return None,
         None => pool.pick(prefix, &[], now, rng)?.clone(),
     };
-    Some(dispatch_to(shared, host))
+    Some(new_dispatch(shared, host))
 }
 
-fn dispatch_to(shared: &Shared, endpoint: Endpoint) -> Dispatch {
+fn new_dispatch(shared: &Shared, endpoint: Endpoint) -> Dispatch {
     Dispatch {
         agent: endpoint.host,
         address: endpoint.address,
         incarnation: endpoint.incarnation,
-        request: shared.next_request(),
+        request: shared.new_request_id(),
     }
 }
 
-fn refresh(shared: &Shared, state: &mut State, now: Time) {
+fn refresh_state(shared: &Shared, state: &mut State, now: Time) {
     let in_force = shared.documents.in_force();
-    let is_fresh = state.refreshed.is_some_and(|at| !now.passed(at, FRESH_FOR));
+    let is_fresh = state.refreshed_at.is_some_and(|at| !now.passed(at, MEMBERS_REFRESH_INTERVAL));
     if is_fresh && state.generation == in_force.generation {
         return;
     }
-    state.refreshed = Some(now);
+    state.refreshed_at = Some(now);
     state.generation = in_force.generation;
     state.versions.clear();
     state.members = shared.members();
     let place = &shared.settings.place;
     let entries = EntrySet::new(&state.members, &place.host, &place.zone);
     let members = state.members.clone();
-    for (key, line) in &mut state.lines {
-        refresh_line(line, &members, &entries, &in_force.config, key, now);
+    for (key, backend) in &mut state.backends {
+        refresh_backend(backend, &members, &entries, &in_force.config, key, now);
     }
     state.entries = Some(entries);
-    state.lines.retain(|_, line| !line.pool.is_empty() || !line.queue.is_empty());
+    state.backends.retain(|_, backend| !backend.pool.is_empty() || !backend.queue.is_empty());
 }
 
-fn refresh_line(
-    line: &mut Line,
+fn refresh_backend(
+    backend: &mut Backend,
     members: &[Member],
     entries: &EntrySet,
     config: &Config,
-    key: &LineKey,
+    key: &BackendKey,
     now: Time,
 ) {
     let serves = |member: &Member| match (&member.serving, key.version) {
-        (Serving::Model { version, .. }, Some(wanted)) => *version == wanted,
+        (Serving::Model { version, .. }, Some(version_digest)) => *version == version_digest,
         (Serving::Plain { service, .. }, None) => *service == key.service,
         _ => false,
     };
-    let zone_in = |member: &Member| {
+    let is_zone_in = |member: &Member| {
         config.zone.get(&member.zone).is_some_and(|zone| zone.state == ZoneState::In)
     };
-    let open: Vec<&Member> = members
+    let candidates: Vec<&Member> = members
         .iter()
-        .filter(|member| !member.leaving && serves(member) && zone_in(member))
+        .filter(|member| !member.leaving && serves(member) && is_zone_in(member))
         .collect();
-    line.pool.refresh(&open, entries, now);
+    backend.pool.refresh(&candidates, entries, now);
 }
--- a/node/src/entry/sweep.rs
+++ b/node/src/entry/sweep.rs
@@ -1,7 +1,8 @@
-//! Deletes claims that have expired, a shard at a time.
+//! Deletes expired claims, one shard at a time.
 //!
-//! Any entry may take a step; a conditional write of the sweep's object decides whose it is. Only
-//! the few that rank highest try, so that the calls do not grow with the fleet.
+//! Any entry may take a step; a conditional write to the object with the state of the sweep decides
+//! which entry does. Only the entries of the highest rank try, so that the number of platform calls
+//! does not grow with the number of entries.
 
 use std::thread;
 use std::time::Duration;
@@ -22,26 +23,26 @@
 
 use super::Shared;
 
-/// How often the thread looks whether the entry has ended.
-const POLL: Duration = Duration::from_millis(200);
+/// Interval at which the thread checks whether the entry has stopped.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Entries that try.
-const SWEEPERS: usize = 3;
+/// Maximum number of entries that attempt the steps.
+const MAX_SWEEPERS: usize = 3;
 
-/// Claims that one step deletes at most, so that it takes a small part of the platform's writes.
-const MAX_DELETES: usize = 100;
+/// Maximum number of claims deleted per step, to use only a small part of the platform's writes.
+const MAX_DELETES_PER_STEP: usize = 100;
 
-/// Runs until the entry ends.
+/// Runs the sweep until the entry stops.
 pub(super) fn run(shared: &Shared) {
-    let mut waited = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     while !shared.is_over() {
-        thread::sleep(POLL);
-        waited += POLL;
-        if waited >= Duration::from_secs(sweep::STEP_SECONDS) {
-            waited = Duration::ZERO;
+        thread::sleep(STOP_POLL_INTERVAL);
+        elapsed += STOP_POLL_INTERVAL;
+        if elapsed >= Duration::from_secs(sweep::STEP_SECONDS) {
+            elapsed = Duration::ZERO;
             if is_sweeper(shared) {
-                // A step that fails is taken by whoever tries next.
-                let _ = step(shared);
+                // A failed step is retried by the next entry that tries.
+                let _ = run_step(shared);
             }
         }
     }
@@ -52,10 +53,10 @@
     let own = rank(&shared.settings.place.host);
     let members = shared.members();
     let entries = members.iter().filter(|m| m.role == HostRole::Entry && !m.leaving);
-    entries.filter(|entry| rank(&entry.host) > own).count() < SWEEPERS
+    entries.filter(|entry| rank(&entry.host) > own).count() < MAX_SWEEPERS
 }
 
-fn step(shared: &Shared) -> Result<()> {
+fn run_step(shared: &Shared) -> Result<()> {
     let platform = &shared.platform;
     let found = platform.get(sweep::KEY)?;
     let revision = found.as_ref().map(|object| object.revision);
@@ -65,8 +66,8 @@
     if !sweep.is_due(now) {
         return Ok(());
     }
-    let keep = shared.documents.in_force().config.limits.claim_seconds;
-    let step = sweep.step(now, revision.unwrap_or(Revision(0)), keep);
+    let retention_seconds = shared.documents.in_force().config.limits.claim_seconds;
+    let step = sweep.step(now, revision.unwrap_or(Revision(0)), retention_seconds);
     let value = Bytes::from(serde_json::to_vec(&sweep).expect("a sweep always encodes"));
     platform.put(sweep::KEY, value, revision.map_or(Expect::Absent, Expect::At))?;
     step.map_or(Ok(()), |step| delete_expired(shared, &step))
@@ -75,8 +76,8 @@
 fn delete_expired(shared: &Shared, step: &Step) -> Result<()> {
     let listed = shared.platform.list(&step.prefix)?;
     let expired = listed.into_iter().filter(|(_, revision)| *revision < step.below);
-    for (key, revision) in expired.take(MAX_DELETES) {
-        // A claim that was written since then is not deleted.
+    for (key, revision) in expired.take(MAX_DELETES_PER_STEP) {
+        // Fails if the claim was written after it was listed.
         let _ = shared.platform.delete(&key, revision);
     }
     Ok(())
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -36,8 +36,8 @@
 use tokio::sync::Semaphore;
 
 use crate::callers;
-use crate::callers::AnswerBody;
-use crate::callers::WriteStall;
+use crate::callers::ResponseBody;
+use crate::callers::WriteTimeout;
 
 /// Result of starting the port.
 pub type Result<T> = std::result::Result<T, Code>;
@@ -139,11 +139,11 @@
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
-        .serve_connection(TokioIo::new(WriteStall::new(stream, WRITE_LIMIT)), service)
+        .serve_connection(TokioIo::new(WriteTimeout::new(stream, WRITE_LIMIT)), service)
         .await;
 }
 
-fn answer(req: &Request<Incoming>, operated: &dyn Operated) -> Response<AnswerBody> {
+fn answer(req: &Request<Incoming>, operated: &dyn Operated) -> Response<ResponseBody> {
     if *req.method() != Method::GET {
         return text(405, "only GET is allowed here\n".to_owned());
     }
@@ -160,17 +160,17 @@
     }
 }
 
-fn text(status: u16, text: String) -> Response<AnswerBody> {
-    response(status, callers::whole(text.into()))
+fn text(status: u16, text: String) -> Response<ResponseBody> {
+    response(status, callers::full_body(text.into()))
 }
 
-fn response(status: u16, body: AnswerBody) -> Response<AnswerBody> {
+fn response(status: u16, body: ResponseBody) -> Response<ResponseBody> {
     let response = Response::builder().status(status).body(body);
     response.expect("a status alone makes a valid head")
 }
 
 /// The weights with their length, so that an engine can tell when they end early.
-fn weights(whole: WholeBody) -> Response<AnswerBody> {
+fn weights(whole: WholeBody) -> Response<ResponseBody> {
     let (tx, rx) = flume::bounded(PIECE_RING);
     let len = whole.len;
     tokio::task::spawn_blocking(move || send_pieces(whole.reader, &tx));
--- a/node/tests/requests/main.rs
+++ b/node/tests/requests/main.rs
@@ -1,3 +1,3 @@
-//! How requests travel between processes.
+//! Tests of requests between processes.
 
-mod silence;
+mod connection_loss;
