--- a/node/src/direct.rs
+++ b/node/src/direct.rs
@@ -1,33 +1,33 @@
-//! The direct path: an entry that answers callers straight from endpoints, and the agent that keeps
-//! the weights and the load report of the endpoint beside it.
+//! The direct path: entries that forward requests of callers to endpoints, and the agent that manages
+//! the weights of the endpoint on its host and reports its load.
 //!
-//! A request enters through [`gateway`]; [`forward`] chooses endpoints for it, `attempt` sends it to
-//! one over a connection of [`pool`], and `stream` passes events on to the body of [`relay`]. What an
-//! entry knows comes from the platform's store by [`watch`], or from another entry by
-//! [`replication`], into `updates`, and from agents by [`load_reports`]. The agent's part is [`agent`], with
-//! [`swarm`] and [`staging`].
+//! [`gateway`] admits a request and [`forward`] serves it: `selection` chooses an endpoint, `attempt`
+//! sends the request over a connection of [`pool`], and `stream` relays events to the caller through
+//! [`response_body`]. The state of an entry comes from the platform's store through [`watch`] or from
+//! another entry through [`replication`], is applied by `updates`, and is complemented by the agents'
+//! [`load_reports`]. The agent consists of [`agent`], [`swarm`] and [`staging`].
 
 pub mod agent;
 mod attempt;
 pub mod call;
 pub mod chunk_cache;
 mod chunk_server;
+pub mod connection;
 pub mod entry;
 pub mod explain;
 mod followers;
 pub mod forward;
 pub mod gateway;
-pub mod link;
 pub mod load_reports;
 pub mod log;
 pub mod metrics;
 pub mod origin;
 pub mod peers;
-mod placement;
 pub mod pool;
 pub mod publisher;
-pub mod relay;
 pub mod replication;
+pub mod response_body;
+mod selection;
 pub mod settings;
 pub mod staging;
 pub mod state;
--- a/node/src/direct/agent.rs
+++ b/node/src/direct/agent.rs
@@ -36,7 +36,7 @@
 use super::load_reports::SetupUpdate;
 use super::log::EventLog;
 use super::metrics::Metrics;
-use super::relay::AnswerBody;
+use super::response_body::ResponseBody;
 use super::settings::DirectSettings;
 use super::staging::Staging;
 use super::swarm::SwarmHost;
@@ -165,7 +165,7 @@
                     "/metrics" => agent.metrics.to_text(),
                     _ => agent.dump(),
                 };
-                let response = Response::new(AnswerBody::whole(Bytes::from(text)));
+                let response = Response::new(ResponseBody::full(Bytes::from(text)));
                 async move { Ok::<_, std::convert::Infallible>(response) }
             });
             let builder = http1::Builder::new();
--- a/node/src/direct/attempt.rs
+++ b/node/src/direct/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at one endpoint: the connection, the request as the endpoint is sent it, and what the
-//! head of the answer proves.
+//! One attempt of a request at one endpoint: obtains a connection, sends the request and classifies
+//! the head of the response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,161 +21,176 @@
 use tokio::time::timeout;
 
 use super::call::Call;
-use super::call::Trail;
-use super::link;
-use super::link::Link;
-use super::link::LinkError;
+use super::call::CallHistory;
+use super::connection;
+use super::connection::ConnectionError;
+use super::connection::HttpConnection;
 use super::pool;
 use super::state::Place;
 use super::state::State;
 
-/// Bytes of an answer that is not a stream at most.
-pub(super) const MAX_ANSWER_LEN: usize = 4 << 20;
+/// Largest body of a response that is not a stream, in bytes.
+pub(super) const MAX_RESPONSE_LEN: usize = 4 << 20;
 
-/// Time for a connection to an endpoint. A lost first packet comes again after a second, which is later than
-/// a second endpoint would answer.
-const CONNECT_WITHIN: Duration = Duration::from_millis(400);
+/// Timeout of connecting to an endpoint. A lost SYN is retransmitted after one second; by then another
+/// endpoint would have answered.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for the rest of a refusal or failure, whose head is here already.
-const REST_WITHIN: Duration = Duration::from_millis(400);
+/// Timeout of reading the body of a refusal or an error response after its head.
+const ERROR_BODY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time to the first event after which another endpoint is tried. One that queues the request as placement
-/// allows starts well within it.
-pub(super) const FIRST_EVENT_WITHIN: Duration = Duration::from_millis(1_800);
+/// Time without a first event after which another endpoint is tried. Endpoints whose queues are as
+/// short as selection allows send the first event well within it.
+pub(super) const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// Objectives that an idempotent request waits for its first answer.
-const PATIENCE_OBJECTIVES: f64 = 2.5;
+/// Timeout of the response head for idempotent requests, as a multiple of the route's latency
+/// objective.
+const RESPONSE_TIMEOUT_OBJECTIVES: f64 = 2.5;
 
-/// An answer that has begun.
+/// A successful response whose body has yet to be read.
 #[derive(Debug)]
-pub(super) struct Run {
-    pub(super) listed: EndpointRecord,
-    pub(super) link: Link,
+pub(super) struct EndpointResponse {
+    pub(super) record: EndpointRecord,
+    pub(super) connection: HttpConnection,
     pub(super) place: Place,
     pub(super) response: Response<Incoming>,
 }
 
 /// How an attempt at one endpoint ended.
-pub(super) enum Outcome {
-    /// The endpoint answers with success.
-    Answering(Box<Run>),
-    /// The endpoint ran it and failed: its answer.
+pub(super) enum AttemptOutcome {
+    /// The endpoint has begun a successful response.
+    Responding(Box<EndpointResponse>),
+    /// The endpoint ran the request and answered with this error response.
     Failed(Response<Bytes>),
-    /// Proved not to have run.
+    /// The request has provably not run.
     NotRun,
-    /// It may have run.
-    Lost(LinkError),
+    /// The request may have run, but there is no valid response.
+    Lost(ConnectionError),
 }
 
-/// Sends the request to one endpoint and judges the head of its answer.
-pub(super) async fn attempt(
+/// Sends the request to `endpoint` and classifies the head of the response. `resume_after` is the id
+/// of the last event relayed when a stream is resumed.
+pub(super) async fn send_to_endpoint(
     state: &Rc<State>,
     call: &Call,
     endpoint: EndpointKey,
-    trail: &mut Trail,
+    history: &mut CallHistory,
     resume_after: Option<&str>,
-) -> Outcome {
-    let Some(listed) = state.endpoints.borrow().get(endpoint).cloned() else {
-        return Outcome::NotRun;
+) -> AttemptOutcome {
+    let Some(record) = state.endpoints.borrow().get(endpoint).cloned() else {
+        return AttemptOutcome::NotRun;
     };
-    trail.tried.push(endpoint);
-    trail.last = Some(listed.id.clone());
+    history.tried.push(endpoint);
+    history.last_endpoint = Some(record.id.clone());
     let place = Place::take(state, endpoint);
-    let kept = state.pool.take(listed.address, &listed.id, state.now());
-    let is_kept = kept.is_some();
-    let mut link = match kept {
-        Some(link) => link,
+    let pooled = state.pool.take(record.address, &record.id, state.now());
+    let is_pooled = pooled.is_some();
+    let mut connection = match pooled {
+        Some(connection) => connection,
         None => {
             state.metrics.count("connections");
-            let began = state.now();
-            let opened = Link::open(listed.address, CONNECT_WITHIN).await;
-            trail.steps.connect += state.now().since(began);
+            let connect_started = state.now();
+            let opened = HttpConnection::open(record.address, CONNECT_TIMEOUT).await;
+            history.steps.connect += state.now().since(connect_started);
             match opened {
-                Ok(link) => link,
+                Ok(connection) => connection,
                 Err(e) => {
-                    note_failure(state, call, &listed, endpoint, e, "connect");
-                    return Outcome::NotRun;
+                    record_failed_attempt(state, call, &record, endpoint, e, "connect");
+                    return AttemptOutcome::NotRun;
                 }
             }
         }
     };
-    // The endpoint table may have changed while the connection was made.
+    // The endpoint table may have changed while the connection was opened.
     if !state.endpoints.borrow().is_routable(endpoint) {
-        return Outcome::NotRun;
+        return AttemptOutcome::NotRun;
     }
-    if !is_kept && !link.ready().await {
-        return Outcome::NotRun;
+    if !is_pooled && !connection.ready().await {
+        return AttemptOutcome::NotRun;
     }
     let now = state.now();
-    let left = call.deadline.since(now);
-    let req = endpoint_request(state, call, &listed, left, resume_after, now);
-    trail.arrivals += 1;
-    if trail.arrivals == 1 {
+    let remaining = call.deadline.since(now);
+    let req = build_endpoint_request(state, call, &record, remaining, resume_after, now);
+    history.sent_count += 1;
+    if history.sent_count == 1 {
         state.with_budget(&call.service, |budget| budget.record_first_attempt(now));
     }
-    let patience = match call.route.retry_policy {
-        RetryPolicy::Idempotent => call.route.objective.mul_f64(PATIENCE_OBJECTIVES),
-        RetryPolicy::Resumable => FIRST_EVENT_WITHIN,
-        RetryPolicy::AtMostOnce => left,
+    let response_timeout = match call.route.retry_policy {
+        RetryPolicy::Idempotent => call.route.objective.mul_f64(RESPONSE_TIMEOUT_OBJECTIVES),
+        RetryPolicy::Resumable => FIRST_EVENT_TIMEOUT,
+        RetryPolicy::AtMostOnce => remaining,
     };
-    let sent = timeout(left.min(patience), link.send(req)).await;
-    let response = match sent.unwrap_or(Err(LinkError::TimedOut)) {
+    let sent = timeout(remaining.min(response_timeout), connection.send(req)).await;
+    let response = match sent.unwrap_or(Err(ConnectionError::TimedOut)) {
         Ok(response) => response,
-        Err(LinkError::NotSent) => {
-            trail.arrivals -= 1;
-            return Outcome::NotRun;
+        Err(ConnectionError::NotSent) => {
+            history.sent_count -= 1;
+            return AttemptOutcome::NotRun;
         }
         Err(e) => {
-            trail.may_have_run = true;
-            note_failure(state, call, &listed, endpoint, e, "head");
-            return Outcome::Lost(e);
+            history.may_have_run = true;
+            record_failed_attempt(state, call, &record, endpoint, e, "head");
+            return AttemptOutcome::Lost(e);
         }
     };
     let id = call.head.id.as_deref();
     match answer::judge(response.status(), response.headers(), id) {
-        Verdict::Success => Outcome::Answering(Box::new(Run { listed, link, place, response })),
+        Verdict::Success => AttemptOutcome::Responding(Box::new(EndpointResponse {
+            record,
+            connection,
+            place,
+            response,
+        })),
         Verdict::NotRun => {
             state.endpoints.borrow_mut().record_refusal(endpoint, state.now());
             state.metrics.count("endpoint_refusals");
-            keep_after(state, &listed, link, response).await;
-            Outcome::NotRun
+            recycle_connection(state, &record, connection, response).await;
+            AttemptOutcome::NotRun
         }
         Verdict::Misdirected => {
             state.endpoints.borrow_mut().record_misdirected(endpoint, state.now());
             state.metrics.count("endpoint_misdirected");
-            Outcome::NotRun
+            AttemptOutcome::NotRun
         }
         Verdict::Failed => {
-            trail.may_have_run = true;
+            history.may_have_run = true;
             state.metrics.count("endpoint_failures");
             state.endpoints.borrow_mut().record_failure(endpoint, false, state.now());
-            failed_answer(state, &listed, link, response).await
+            read_error_response(state, &record, connection, response).await
         }
         Verdict::Foreign => {
-            trail.may_have_run = true;
-            note_failure(state, call, &listed, endpoint, LinkError::Broken, "foreign answer");
-            Outcome::Lost(LinkError::Broken)
+            history.may_have_run = true;
+            record_failed_attempt(
+                state,
+                call,
+                &record,
+                endpoint,
+                ConnectionError::Broken,
+                "foreign answer",
+            );
+            AttemptOutcome::Lost(ConnectionError::Broken)
         }
     }
 }
 
-fn endpoint_request(
+fn build_endpoint_request(
     state: &State,
     call: &Call,
-    listed: &EndpointRecord,
-    left: Duration,
+    record: &EndpointRecord,
+    remaining: Duration,
     resume_after: Option<&str>,
     now: Time,
 ) -> Request<Full<Bytes>> {
-    // While an older version may still answer, any that the endpoint holds is welcome.
+    // While an older version of the weights may still answer, the endpoint may use any version it
+    // holds.
     let version = call.head.model.as_deref().and_then(|model| {
         let newest = state.versions.borrow().get(model).map(Versions::newest)?;
         (state.oldest_weights(model, now) == newest).then_some(newest)
     });
     let resume_after = resume_after.or(call.head.resumes_after.as_deref());
     let addition = Addition {
-        deadline: Some(left),
-        endpoint: &listed.id,
+        deadline: Some(remaining),
+        endpoint: &record.id,
         customer: call.customer.as_ref().map(|customer| &customer.name),
         version,
         urgency: None,
@@ -188,53 +203,59 @@
     req
 }
 
-/// Counts and logs an attempt that brought no usable answer.
-pub(super) fn note_failure(
+/// Records an attempt without a valid response in the endpoint table, the metrics and the log. `at` is
+/// the stage at which it failed.
+pub(super) fn record_failed_attempt(
     state: &State,
     call: &Call,
-    listed: &EndpointRecord,
+    record: &EndpointRecord,
     endpoint: EndpointKey,
-    e: LinkError,
+    e: ConnectionError,
     at: &'static str,
 ) {
     state.endpoints.borrow_mut().record_failure(endpoint, true, state.now());
     state.metrics.count("endpoint_losses");
     slog::info!(state.log, "attempt failed";
         "id" => call.head.id.as_deref().unwrap_or_default(),
-        "endpoint" => listed.id.as_str(), "at" => at, "error" => e.as_str(),
+        "endpoint" => record.id.as_str(), "at" => at, "error" => e.as_str(),
         "left_ms" => call.deadline.since(state.now()).as_millis() as u64);
 }
 
-/// Reads the short rest of an answer, so that its connection can be used again.
-async fn keep_after(
+/// Reads the rest of a response that is discarded, and returns its connection to the pool.
+async fn recycle_connection(
     state: &State,
-    listed: &EndpointRecord,
-    mut link: Link,
+    record: &EndpointRecord,
+    mut connection: HttpConnection,
     response: Response<Incoming>,
 ) {
-    let span = pool::idle_span(response.headers());
-    let rest = timeout(REST_WITHIN, link::whole(response.into_body(), MAX_ANSWER_LEN)).await;
-    if matches!(rest, Ok(Ok(_))) && link.ready().await {
-        state.pool.put(listed.address, &listed.id, link, span, state.now());
+    let keep_alive = pool::parse_keep_alive(response.headers());
+    let drained = timeout(
+        ERROR_BODY_TIMEOUT,
+        connection::collect_body(response.into_body(), MAX_RESPONSE_LEN),
+    )
+    .await;
+    if matches!(drained, Ok(Ok(_))) && connection.ready().await {
+        state.pool.put(record.address, &record.id, connection, keep_alive, state.now());
     }
 }
 
-async fn failed_answer(
+/// Reads the body of an error response and returns its connection to the pool.
+async fn read_error_response(
     state: &State,
-    listed: &EndpointRecord,
-    mut link: Link,
+    record: &EndpointRecord,
+    mut connection: HttpConnection,
     response: Response<Incoming>,
-) -> Outcome {
-    let span = pool::idle_span(response.headers());
+) -> AttemptOutcome {
+    let keep_alive = pool::parse_keep_alive(response.headers());
     let (head, body) = response.into_parts();
-    let body = timeout(REST_WITHIN, link::whole(body, MAX_ANSWER_LEN)).await;
-    match body.unwrap_or(Err(LinkError::TimedOut)) {
+    let body = timeout(ERROR_BODY_TIMEOUT, connection::collect_body(body, MAX_RESPONSE_LEN)).await;
+    match body.unwrap_or(Err(ConnectionError::TimedOut)) {
         Ok(body) => {
-            if link.ready().await {
-                state.pool.put(listed.address, &listed.id, link, span, state.now());
+            if connection.ready().await {
+                state.pool.put(record.address, &record.id, connection, keep_alive, state.now());
             }
-            Outcome::Failed(Response::from_parts(head, body))
+            AttemptOutcome::Failed(Response::from_parts(head, body))
         }
-        Err(e) => Outcome::Lost(e),
+        Err(e) => AttemptOutcome::Lost(e),
     }
 }
--- a/node/src/direct/call.rs
+++ b/node/src/direct/call.rs
@@ -1,4 +1,4 @@
-//! One request of a caller on its way through an entry, and how it may be refused.
+//! A caller's request while an entry handles it, and the errors it may end with.
 
 use std::time::Duration;
 
@@ -17,102 +17,103 @@
 
 use super::steps::StepTimes;
 
-/// One request of a caller.
+/// A request of a caller, admitted and read completely.
 #[derive(Debug)]
 pub struct Call {
-    /// What its head says.
+    /// Fields parsed from the headers.
     pub head: CallHead,
-    /// Its method.
+    /// HTTP method, sent on unchanged.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query, sent on unchanged.
     pub uri: Uri,
-    /// Its headers.
+    /// Headers as the caller sent them.
     pub headers: HeaderMap,
-    /// Its body, whole.
+    /// Complete body.
     pub body: Bytes,
-    /// The route it takes.
+    /// Route that matched host and path.
     pub route: Route,
-    /// The service it goes to.
+    /// Service chosen from the traffic split of the route.
     pub service: ServiceName,
-    /// The customer that holds its key.
+    /// Customer that the key belongs to; `None` for anonymous callers.
     pub customer: Option<Customer>,
-    /// Requests a second that a cold endpoint of the service bears.
+    /// Requests per second that a cold endpoint of the service can handle.
     pub cold_per_second: f64,
-    /// Whether it came back too late to be answered in time.
+    /// Whether the caller retries too late to be answered within the latency objective.
     pub is_late: bool,
-    /// When its head was read.
-    pub arrived: Time,
-    /// Time until its body was read.
-    pub read_for: Duration,
-    /// When its answer has to be there.
+    /// When the head was read.
+    pub received_at: Time,
+    /// Time from `received_at` until the body was read.
+    pub read_time: Duration,
+    /// When the caller stops waiting, at the latest after the timeout of the route.
     pub deadline: Time,
 }
 
-/// Why a request was not answered by an endpoint.
+/// Why no endpoint answered a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Refusal {
-    /// It has not run and will not: no endpoint can serve it now.
+pub enum CallError {
+    /// No endpoint can serve the request now. It has not run.
     NoEndpoint,
-    /// It has not run and will not: all endpoints are full.
+    /// All endpoints are full. The request has not run.
     Full,
-    /// It has not run and will not: those with room have just started and bear no more yet.
+    /// The endpoints with free places are cold, and their request rate is used up. The request has not
+    /// run.
     Warming,
-    /// It has not run and will not: each endpoint that it was offered to refused it.
+    /// Each endpoint tried refused the request or could not be reached. It has not run.
     Declined,
-    /// It has not run and will not: its time was over before an endpoint took it.
-    NotStarted,
-    /// It may have run; the endpoint's answer was lost.
+    /// The deadline passed before the request was sent to an endpoint. It has not run.
+    Expired,
+    /// The response was lost. The request may have run.
     Lost,
-    /// It may have run; no answer came in time.
+    /// No response arrived in time. The request may have run.
     TimedOut,
 }
 
-impl Refusal {
-    /// Its name in logs.
+impl CallError {
+    /// The reason as it stands in logs and in the response to the caller.
     pub fn as_str(self) -> &'static str {
         match self {
-            Refusal::NoEndpoint => "no endpoint",
-            Refusal::Full => "all endpoints full",
-            Refusal::Warming => "all endpoints full or cold",
-            Refusal::Declined => "declined by endpoints",
-            Refusal::NotStarted => "time over before an endpoint took it",
-            Refusal::Lost => "answer lost",
-            Refusal::TimedOut => "timed out",
+            CallError::NoEndpoint => "no endpoint",
+            CallError::Full => "all endpoints full",
+            CallError::Warming => "all endpoints full or cold",
+            CallError::Declined => "declined by endpoints",
+            CallError::Expired => "time over before an endpoint took it",
+            CallError::Lost => "answer lost",
+            CallError::TimedOut => "timed out",
         }
     }
 
-    /// The status that callers are sent. 503 promises that the request has not run.
+    /// Status of the response to the caller. 503 guarantees that the request has not run.
     pub fn status(self) -> StatusCode {
         match self {
-            Refusal::NoEndpoint
-            | Refusal::Full
-            | Refusal::Warming
-            | Refusal::Declined
-            | Refusal::NotStarted => StatusCode::SERVICE_UNAVAILABLE,
-            Refusal::Lost => StatusCode::BAD_GATEWAY,
-            Refusal::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+            CallError::NoEndpoint
+            | CallError::Full
+            | CallError::Warming
+            | CallError::Declined
+            | CallError::Expired => StatusCode::SERVICE_UNAVAILABLE,
+            CallError::Lost => StatusCode::BAD_GATEWAY,
+            CallError::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 }
 
-/// Result of serving a request.
-pub type Result<T> = std::result::Result<T, Refusal>;
+/// Result of forwarding a request.
+pub type Result<T> = std::result::Result<T, CallError>;
 
-/// What one request has been through.
+/// The attempts made for one request so far.
 #[derive(Clone, Debug, Default)]
-pub struct Trail {
+pub struct CallHistory {
     pub(super) tried: Vec<EndpointKey>,
-    pub(super) arrivals: u32,
+    pub(super) sent_count: u32,
     pub(super) may_have_run: bool,
-    /// Where its time went.
+    /// Time spent in each step.
     pub steps: StepTimes,
-    /// The last endpoint it was sent to.
-    pub last: Option<SmolStr>,
+    /// Id of the endpoint tried last.
+    pub last_endpoint: Option<SmolStr>,
 }
 
-impl Trail {
-    /// Endpoints that it was offered to.
-    pub fn offers(&self) -> usize {
+impl CallHistory {
+    /// Number of endpoints tried, including those that refused or could not be reached.
+    pub fn tried_count(&self) -> usize {
         self.tried.len()
     }
 }
--- a/node/src/direct/forward.rs
+++ b/node/src/direct/forward.rs
@@ -1,4 +1,5 @@
-//! Sends one request to endpoints until one has answered it, within what may be repeated.
+//! Forwards a request to endpoints, with retries as the route's retry policy and the retry budget
+//! allow.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,123 +11,130 @@
 use mastichaven_platform::answer;
 use tokio::time::timeout;
 
-use super::attempt::MAX_ANSWER_LEN;
-use super::attempt::Outcome;
-use super::attempt::Run;
-use super::attempt::attempt;
-use super::attempt::note_failure;
+use super::attempt::AttemptOutcome;
+use super::attempt::EndpointResponse;
+use super::attempt::MAX_RESPONSE_LEN;
+use super::attempt::record_failed_attempt;
+use super::attempt::send_to_endpoint;
 use super::call::Call;
-use super::call::Refusal;
+use super::call::CallError;
+use super::call::CallHistory;
 use super::call::Result;
-use super::call::Trail;
-use super::link;
-use super::link::LinkError;
-use super::placement::next_endpoint;
+use super::connection;
+use super::connection::ConnectionError;
 use super::pool;
-use super::relay::AnswerBody;
+use super::response_body::ResponseBody;
+use super::selection::next_endpoint;
 use super::state::State;
-use super::stream::begin_stream;
+use super::stream::start_stream;
 
-/// Answers `call` from an endpoint.
+/// Forwards `call` until an endpoint answers or no further attempt is allowed. If an endpoint has
+/// answered with an error status by then, that response is returned in place of a [`CallError`].
 pub async fn serve(
     state: &Rc<State>,
     call: Rc<Call>,
-    trail: &mut Trail,
-) -> Result<Response<AnswerBody>> {
-    let mut failed: Option<Response<Bytes>> = None;
-    trail.steps.read = call.read_for;
+    history: &mut CallHistory,
+) -> Result<Response<ResponseBody>> {
+    let mut failed_response: Option<Response<Bytes>> = None;
+    history.steps.read = call.read_time;
     loop {
-        let began = state.now();
-        let next = next_endpoint(state, &call, trail).await;
-        trail.steps.place += state.now().since(began);
-        let endpoint = match next {
+        let selection_started = state.now();
+        let chosen = next_endpoint(state, &call, history).await;
+        history.steps.place += state.now().since(selection_started);
+        let endpoint = match chosen {
             Ok(endpoint) => endpoint,
-            Err(refusal) => return failed.map_or(Err(refusal), |answer| Ok(pass_on(answer))),
+            Err(e) => {
+                return failed_response.map_or(Err(e), |response| Ok(relay_response(response)));
+            }
         };
-        let attempted = Attempted::begin(state, trail);
-        match attempt(state, &call, endpoint, trail, None).await {
-            Outcome::Answering(run) if call.route.is_stream => {
-                match begin_stream(state, &call, *run, trail).await {
+        let timer = AttemptTimer::start(state, history);
+        match send_to_endpoint(state, &call, endpoint, history, None).await {
+            AttemptOutcome::Responding(response) if call.route.is_stream => {
+                match start_stream(state, &call, *response, history).await {
                     Ok(response) => {
-                        trail.steps.run = attempted.spent(state, trail);
+                        history.steps.run = timer.elapsed_without_connect(state, history);
                         return Ok(response);
                     }
                     Err(_) if call.route.retry_policy == RetryPolicy::Resumable => {}
-                    Err(e) => return Err(lost(e)),
+                    Err(e) => return Err(call_error(e)),
                 }
             }
-            Outcome::Answering(run) => match read_whole(state, &call, *run).await {
-                Ok(response) => {
-                    trail.steps.run = attempted.spent(state, trail);
-                    return Ok(response);
+            AttemptOutcome::Responding(response) => {
+                match read_response(state, &call, *response).await {
+                    Ok(response) => {
+                        history.steps.run = timer.elapsed_without_connect(state, history);
+                        return Ok(response);
+                    }
+                    Err(_) if call.route.retry_policy == RetryPolicy::Idempotent => {}
+                    Err(e) => return Err(call_error(e)),
                 }
-                Err(_) if call.route.retry_policy == RetryPolicy::Idempotent => {}
-                Err(e) => return Err(lost(e)),
-            },
-            Outcome::Failed(answer) if call.route.retry_policy == RetryPolicy::AtMostOnce => {
-                return Ok(pass_on(answer));
             }
-            Outcome::Failed(answer) => failed = Some(answer),
-            Outcome::NotRun => {}
-            Outcome::Lost(e) if call.route.retry_policy == RetryPolicy::AtMostOnce => {
-                return Err(lost(e));
+            AttemptOutcome::Failed(response)
+                if call.route.retry_policy == RetryPolicy::AtMostOnce =>
+            {
+                return Ok(relay_response(response));
+            }
+            AttemptOutcome::Failed(response) => failed_response = Some(response),
+            AttemptOutcome::NotRun => {}
+            AttemptOutcome::Lost(e) if call.route.retry_policy == RetryPolicy::AtMostOnce => {
+                return Err(call_error(e));
             }
-            Outcome::Lost(_) => {}
+            AttemptOutcome::Lost(_) => {}
         }
-        trail.steps.lost += attempted.spent(state, trail);
+        history.steps.lost += timer.elapsed_without_connect(state, history);
     }
 }
 
-/// The start of an attempt, to tell what it took beside its connection.
+/// Measures the time of an attempt without the time spent on connecting.
 #[derive(Clone, Copy, Debug)]
-struct Attempted {
-    at: Time,
-    connected: Duration,
+struct AttemptTimer {
+    started_at: Time,
+    connect_before: Duration,
 }
 
-impl Attempted {
-    fn begin(state: &State, trail: &Trail) -> Attempted {
-        Attempted { at: state.now(), connected: trail.steps.connect }
+impl AttemptTimer {
+    fn start(state: &State, history: &CallHistory) -> AttemptTimer {
+        AttemptTimer { started_at: state.now(), connect_before: history.steps.connect }
     }
 
-    fn spent(self, state: &State, trail: &Trail) -> Duration {
-        let connecting = trail.steps.connect.saturating_sub(self.connected);
-        state.now().since(self.at).saturating_sub(connecting)
+    fn elapsed_without_connect(self, state: &State, history: &CallHistory) -> Duration {
+        let connecting = history.steps.connect.saturating_sub(self.connect_before);
+        state.now().since(self.started_at).saturating_sub(connecting)
     }
 }
 
-fn lost(e: LinkError) -> Refusal {
-    if e == LinkError::TimedOut { Refusal::TimedOut } else { Refusal::Lost }
+fn call_error(e: ConnectionError) -> CallError {
+    if e == ConnectionError::TimedOut { CallError::TimedOut } else { CallError::Lost }
 }
 
-fn pass_on(answer: Response<Bytes>) -> Response<AnswerBody> {
-    let (mut head, body) = answer.into_parts();
+fn relay_response(response: Response<Bytes>) -> Response<ResponseBody> {
+    let (mut head, body) = response.into_parts();
     head.headers = answer::caller_headers(head.headers);
-    Response::from_parts(head, AnswerBody::whole(body))
+    Response::from_parts(head, ResponseBody::full(body))
 }
 
-/// Reads an answer that is not a stream. Only a whole one is passed on.
-async fn read_whole(
+/// Reads the body of a response that is not a stream. Only complete responses are relayed.
+async fn read_response(
     state: &State,
     call: &Call,
-    run: Run,
-) -> std::result::Result<Response<AnswerBody>, LinkError> {
-    let Run { listed, mut link, place, response } = run;
-    let span = pool::idle_span(response.headers());
+    response: EndpointResponse,
+) -> std::result::Result<Response<ResponseBody>, ConnectionError> {
+    let EndpointResponse { record, mut connection, place, response } = response;
+    let keep_alive = pool::parse_keep_alive(response.headers());
     let (head, body) = response.into_parts();
-    let left = call.deadline.since(state.now());
-    let body = timeout(left, link::whole(body, MAX_ANSWER_LEN)).await;
-    let body = match body.unwrap_or(Err(LinkError::TimedOut)) {
+    let remaining = call.deadline.since(state.now());
+    let body = timeout(remaining, connection::collect_body(body, MAX_RESPONSE_LEN)).await;
+    let body = match body.unwrap_or(Err(ConnectionError::TimedOut)) {
         Ok(body) => body,
         Err(e) => {
-            note_failure(state, call, &listed, place.endpoint, e, "body");
+            record_failed_attempt(state, call, &record, place.endpoint, e, "body");
             return Err(e);
         }
     };
     state.endpoints.borrow_mut().record_success(place.endpoint);
     drop(place);
-    if link.ready().await {
-        state.pool.put(listed.address, &listed.id, link, span, state.now());
+    if connection.ready().await {
+        state.pool.put(record.address, &record.id, connection, keep_alive, state.now());
     }
-    Ok(pass_on(Response::from_parts(head, body)))
+    Ok(relay_response(Response::from_parts(head, body)))
 }
--- a/node/src/direct/gateway.rs
+++ b/node/src/direct/gateway.rs
@@ -1,4 +1,5 @@
-//! Where callers come in: reads a request, decides whether it may pass, and answers it.
+//! Handles requests of callers: validates and authenticates them, reads their bodies and forwards
+//! them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,24 +25,24 @@
 use tokio::time::timeout;
 
 use super::call::Call;
-use super::call::Refusal;
-use super::call::Trail;
+use super::call::CallError;
+use super::call::CallHistory;
 use super::forward;
-use super::relay::AnswerBody;
+use super::response_body::ResponseBody;
 use super::state::State;
 
-/// Deadline of a caller that names none.
-const USUAL_DEADLINE: Duration = Duration::from_secs(10);
+/// Deadline of requests that give none.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
 
-/// Every how many answers one is logged. Refusals and failures are logged each.
-const LOG_EVERY: u64 = 32;
+/// One in this many successful responses is logged, at random. Every refusal and failure is logged.
+const SUCCESSES_PER_LOG_LINE: u64 = 32;
 
-/// Why a request does not pass.
+/// Why a request was rejected before it was forwarded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Barred {
-    /// The configuration is too old to act on.
-    Stale,
-    /// The entry has just started and does not know yet all that decides where requests go.
+enum Rejection {
+    /// The lease on the configuration has expired.
+    StaleConfig,
+    /// The entry has just started and has not yet received all the state that routing needs.
     Starting,
     UnknownRoute,
     UnknownKey,
@@ -50,89 +51,100 @@
     BodyBroken,
 }
 
-impl Barred {
+impl Rejection {
     fn status(self) -> StatusCode {
         match self {
-            Barred::Stale | Barred::Starting => StatusCode::SERVICE_UNAVAILABLE,
-            Barred::UnknownRoute => StatusCode::NOT_FOUND,
-            Barred::UnknownKey => StatusCode::UNAUTHORIZED,
-            Barred::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            Barred::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
-            Barred::BodyBroken => StatusCode::BAD_REQUEST,
+            Rejection::StaleConfig | Rejection::Starting => StatusCode::SERVICE_UNAVAILABLE,
+            Rejection::UnknownRoute => StatusCode::NOT_FOUND,
+            Rejection::UnknownKey => StatusCode::UNAUTHORIZED,
+            Rejection::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            Rejection::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
+            Rejection::BodyBroken => StatusCode::BAD_REQUEST,
         }
     }
 
-    fn cause(self, state: &State) -> RefusalCause {
+    fn refusal_cause(self, state: &State) -> RefusalCause {
         match self {
-            Barred::Starting => RefusalCause::Starting,
-            Barred::Stale => {
+            Rejection::Starting => RefusalCause::Starting,
+            Rejection::StaleConfig => {
                 RefusalCause::NoLease { is_held_in_region: state.has_fresh_neighbour.get() }
             }
-            Barred::UnknownRoute
-            | Barred::UnknownKey
-            | Barred::BodyTooLong
-            | Barred::BodyTooSlow
-            | Barred::BodyBroken => RefusalCause::Other,
+            Rejection::UnknownRoute
+            | Rejection::UnknownKey
+            | Rejection::BodyTooLong
+            | Rejection::BodyTooSlow
+            | Rejection::BodyBroken => RefusalCause::Other,
         }
     }
 
     fn as_str(self) -> &'static str {
         match self {
-            Barred::Stale => "configuration too old",
-            Barred::Starting => "not all known yet",
-            Barred::UnknownRoute => "unknown route",
-            Barred::UnknownKey => "unknown key",
-            Barred::BodyTooLong => "body too long",
-            Barred::BodyTooSlow => "body too slow",
-            Barred::BodyBroken => "body broken",
+            Rejection::StaleConfig => "configuration too old",
+            Rejection::Starting => "not all known yet",
+            Rejection::UnknownRoute => "unknown route",
+            Rejection::UnknownKey => "unknown key",
+            Rejection::BodyTooLong => "body too long",
+            Rejection::BodyTooSlow => "body too slow",
+            Rejection::BodyBroken => "body broken",
         }
     }
 }
 
-/// Answers one request of a caller.
-pub async fn answer(state: Rc<State>, req: Request<Incoming>) -> Response<AnswerBody> {
-    let arrived = state.now();
+/// Handles one request of a caller.
+pub async fn handle_request(state: Rc<State>, req: Request<Incoming>) -> Response<ResponseBody> {
+    let received_at = state.now();
     let head = call::scan_call(req.headers());
     state.metrics.count("requests");
-    let mut response = match pass(&state, &head, req, arrived).await {
+    let mut response = match admit(&state, &head, req, received_at).await {
         Ok(call) => forward_call(&state, Rc::new(call)).await,
-        Err(barred) => {
-            log_end(&state, &head, arrived, barred.status(), barred.as_str(), &Trail::default());
-            let left = head.deadline.unwrap_or(USUAL_DEADLINE);
-            refuse(barred.status(), barred.as_str(), state.retry_after(barred.cause(&state), left))
+        Err(rejection) => {
+            log_request_end(
+                &state,
+                &head,
+                received_at,
+                rejection.status(),
+                rejection.as_str(),
+                &CallHistory::default(),
+            );
+            let remaining = head.deadline.unwrap_or(DEFAULT_DEADLINE);
+            error_response(
+                rejection.status(),
+                rejection.as_str(),
+                state.retry_after(rejection.refusal_cause(&state), remaining),
+            )
         }
     };
     if state.is_stopping.get() {
-        // The next request of this caller belongs on another entry.
+        // Makes the caller reconnect, to another entry, for its next request.
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-/// Checks a request and reads its body.
-async fn pass(
+/// Validates a request and reads its body.
+async fn admit(
     state: &State,
     head: &CallHead,
     req: Request<Incoming>,
-    arrived: Time,
-) -> Result<Call, Barred> {
+    received_at: Time,
+) -> Result<Call, Rejection> {
     if !state.knows_all() {
-        return Err(Barred::Starting);
+        return Err(Rejection::Starting);
     }
-    if !state.freshness.borrow().is_valid(arrived) {
-        return Err(Barred::Stale);
+    if !state.freshness.borrow().is_valid(received_at) {
+        return Err(Rejection::StaleConfig);
     }
-    let catalog = state.catalog.borrow().clone().ok_or(Barred::Starting)?;
-    let route = catalog.route(&head.host, req.uri().path()).ok_or(Barred::UnknownRoute)?.clone();
-    let customer = customer_of(&catalog, &route, head)?;
+    let catalog = state.catalog.borrow().clone().ok_or(Rejection::Starting)?;
+    let route = catalog.route(&head.host, req.uri().path()).ok_or(Rejection::UnknownRoute)?.clone();
+    let customer = authenticate(&catalog, &route, head)?;
     let draw = state.with_rng(|rng| rng.random::<f64>());
-    let service = route.pick_service(draw).ok_or(Barred::UnknownRoute)?.clone();
+    let service = route.pick_service(draw).ok_or(Rejection::UnknownRoute)?.clone();
     let cold_per_second = catalog.service(&service).map_or(0.0, |s| s.cold_per_second);
     let limits = catalog.limits();
     let (parts, body) = req.into_parts();
     let body = read_body(body, limits.max_body_len, limits.head_timeout).await?;
-    let allowed = head.deadline.unwrap_or(USUAL_DEADLINE).min(route.timeout);
-    let is_late = state.is_late(&route, allowed, arrived);
+    let time_limit = head.deadline.unwrap_or(DEFAULT_DEADLINE).min(route.timeout);
+    let is_late = state.is_late(&route, time_limit, received_at);
     Ok(Call {
         head: head.clone(),
         method: parts.method,
@@ -144,80 +156,90 @@
         customer,
         cold_per_second,
         is_late,
-        arrived,
-        read_for: state.now().since(arrived),
-        deadline: arrived + allowed,
+        received_at,
+        read_time: state.now().since(received_at),
+        deadline: received_at + time_limit,
     })
 }
 
-fn customer_of(
+/// Finds the customer of the request's key. Without a valid key, a request is accepted if the route
+/// allows anonymous callers or no customers are configured.
+fn authenticate(
     catalog: &Catalog,
     route: &Route,
     head: &CallHead,
-) -> Result<Option<Customer>, Barred> {
+) -> Result<Option<Customer>, Rejection> {
     let customer = head.key.as_deref().and_then(|key| catalog.customer(key));
     if customer.is_none() && catalog.has_customers() && !route.allows_anonymous {
-        return Err(Barred::UnknownKey);
+        return Err(Rejection::UnknownKey);
     }
     Ok(customer.cloned())
 }
 
-async fn read_body(body: Incoming, max_len: usize, within: Duration) -> Result<Bytes, Barred> {
+async fn read_body(
+    body: Incoming,
+    max_len: usize,
+    time_limit: Duration,
+) -> Result<Bytes, Rejection> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
     if body.size_hint().lower() > max_len as u64 {
-        return Err(Barred::BodyTooLong);
+        return Err(Rejection::BodyTooLong);
     }
-    match timeout(within, Limited::new(body, max_len).collect()).await {
+    match timeout(time_limit, Limited::new(body, max_len).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(Barred::BodyTooLong),
-        Ok(Err(_)) => Err(Barred::BodyBroken),
-        Err(_) => Err(Barred::BodyTooSlow),
+        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(Rejection::BodyTooLong),
+        Ok(Err(_)) => Err(Rejection::BodyBroken),
+        Err(_) => Err(Rejection::BodyTooSlow),
     }
 }
 
-async fn forward_call(state: &Rc<State>, call: Rc<Call>) -> Response<AnswerBody> {
-    let mut trail = Trail::default();
-    match forward::serve(state, call.clone(), &mut trail).await {
+async fn forward_call(state: &Rc<State>, call: Rc<Call>) -> Response<ResponseBody> {
+    let mut history = CallHistory::default();
+    match forward::serve(state, call.clone(), &mut history).await {
         Ok(response) => {
-            state.metrics.time("head", state.now().since(call.arrived));
-            for (name, span) in trail.steps.named() {
-                state.metrics.time(name, span);
+            state.metrics.time("head", state.now().since(call.received_at));
+            for (name, duration) in history.steps.with_metric_names() {
+                state.metrics.time(name, duration);
             }
             let status = response.status();
-            log_end(state, &call.head, call.arrived, status, "answered", &trail);
+            log_request_end(state, &call.head, call.received_at, status, "answered", &history);
             response
         }
-        Err(refusal) => {
-            log_end(state, &call.head, call.arrived, refusal.status(), refusal.as_str(), &trail);
-            let left = call.deadline.since(state.now());
-            let cause = cause_of(state, refusal, &call);
-            refuse(refusal.status(), refusal.as_str(), state.retry_after(cause, left))
+        Err(e) => {
+            log_request_end(state, &call.head, call.received_at, e.status(), e.as_str(), &history);
+            let remaining = call.deadline.since(state.now());
+            let cause = refusal_cause_of(state, e, &call);
+            error_response(e.status(), e.as_str(), state.retry_after(cause, remaining))
         }
     }
 }
 
-fn cause_of(state: &State, refusal: Refusal, call: &Call) -> RefusalCause {
-    match refusal {
-        Refusal::Full => RefusalCause::Full,
-        Refusal::Warming => {
+fn refusal_cause_of(state: &State, e: CallError, call: &Call) -> RefusalCause {
+    match e {
+        CallError::Full => RefusalCause::Full,
+        CallError::Warming => {
             let warm_in = state.endpoints.borrow().warm_in(&call.service, state.now());
             RefusalCause::Warming { warm_in }
         }
-        Refusal::NoEndpoint => {
+        CallError::NoEndpoint => {
             let ready_in = state.endpoints.borrow().ready_in(&call.service, state.now());
             RefusalCause::NoEndpoint { ready_in }
         }
-        Refusal::Declined | Refusal::NotStarted | Refusal::Lost | Refusal::TimedOut => {
+        CallError::Declined | CallError::Expired | CallError::Lost | CallError::TimedOut => {
             RefusalCause::Other
         }
     }
 }
 
-/// An answer of this entry's own. 503 always names a time to come back.
-fn refuse(status: StatusCode, reason: &'static str, retry_after: Duration) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(Bytes::from_static(reason.as_bytes())));
+/// A response of the entry itself; one with status 503 has a `Retry-After` header.
+fn error_response(
+    status: StatusCode,
+    reason: &'static str,
+    retry_after: Duration,
+) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::full(Bytes::from_static(reason.as_bytes())));
     *response.status_mut() = status;
     let value = HeaderValue::from_str(&format!("{:.2}", retry_after.as_secs_f64()));
     if let Some(value) = value.ok().filter(|_| status == StatusCode::SERVICE_UNAVAILABLE) {
@@ -226,13 +248,13 @@
     response
 }
 
-/// The counter of answers of a kind.
-fn counter(status: StatusCode, reason: &str) -> &'static str {
+/// Name of the counter for responses with this status and reason.
+fn response_counter(status: StatusCode, reason: &str) -> &'static str {
     match status.as_u16() {
         200..=299 => "answered",
-        503 if reason == Refusal::Full.as_str() => "refused_full",
-        503 if reason == Refusal::Warming.as_str() => "refused_warming",
-        503 if reason == Refusal::NoEndpoint.as_str() => "refused_no_endpoint",
+        503 if reason == CallError::Full.as_str() => "refused_full",
+        503 if reason == CallError::Warming.as_str() => "refused_warming",
+        503 if reason == CallError::NoEndpoint.as_str() => "refused_no_endpoint",
         503 => "refused_other",
         502 => "failed_lost",
         504 => "failed_timeout",
@@ -241,38 +263,38 @@
     }
 }
 
-fn log_end(
+fn log_request_end(
     state: &State,
     head: &CallHead,
-    arrived: Time,
+    received_at: Time,
     status: StatusCode,
     reason: &'static str,
-    trail: &Trail,
+    history: &CallHistory,
 ) {
     let now = state.now();
-    state.metrics.count(counter(status, reason));
-    let is_sampled = state.with_rng(|rng| rng.random_range(0..LOG_EVERY)) == 0;
+    state.metrics.count(response_counter(status, reason));
+    let is_sampled = state.with_rng(|rng| rng.random_range(0..SUCCESSES_PER_LOG_LINE)) == 0;
     if status.is_success() {
         if !is_sampled {
             return;
         }
-        log_steps(state, head, trail);
+        log_request_steps(state, head, history);
     }
     let age = state.freshness.borrow().age(now).map_or(-1, |age| age.as_millis() as i64);
     let version = state.catalog.borrow().as_ref().map_or(0, |catalog| catalog.version());
     slog::info!(state.log, "request ended";
         "id" => head.id.as_deref().unwrap_or_default(),
         "status" => status.as_u16(), "reason" => reason,
-        "took_ms" => now.since(arrived).as_millis() as u64,
-        "offers" => trail.offers(),
-        "endpoint" => trail.last.as_deref().unwrap_or_default(),
+        "took_ms" => now.since(received_at).as_millis() as u64,
+        "offers" => history.tried_count(),
+        "endpoint" => history.last_endpoint.as_deref().unwrap_or_default(),
         "config" => version, "config_age_ms" => age);
 }
 
-/// Logs where the time of an answered request went.
-fn log_steps(state: &State, head: &CallHead, trail: &Trail) {
-    let us = |span: Duration| u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-    let steps = &trail.steps;
+/// Logs the time that a successful request spent in each step.
+fn log_request_steps(state: &State, head: &CallHead, history: &CallHistory) {
+    let us = |duration: Duration| u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
+    let steps = &history.steps;
     slog::info!(state.log, "request steps";
         "id" => head.id.as_deref().unwrap_or_default(),
         "read_us" => us(steps.read), "place_us" => us(steps.place),
--- a/node/src/direct/log.rs
+++ b/node/src/direct/log.rs
@@ -1,7 +1,7 @@
-//! Structured logs: one JSON object a line on standard output, written beside the work.
+//! Asynchronous structured logging: one JSON object per line on standard output.
 //!
-//! Lines gather in a bounded buffer that a thread of its own writes out. A reader that falls behind
-//! costs lines, never time: what does not fit is dropped, counted, and the count is logged.
+//! Lines are collected in a bounded buffer that a separate thread writes out, so that a slow reader
+//! of the log never blocks the process. Lines that don't fit are dropped; their number is logged.
 
 use std::io;
 use std::io::Write;
@@ -15,29 +15,29 @@
 use slog::Drain;
 use slog::Logger;
 
-/// Bytes that wait to be written at most: some seconds of refusals at the peak.
-const MAX_WAITING: usize = 256 << 10;
+/// Limit of the buffer. It holds several seconds of refusals at peak load.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// How often waiting lines are written. One write for many lines costs one system call.
-const WRITE_EVERY: Duration = Duration::from_millis(250);
+/// Interval of writes. Many lines are written with one system call.
+const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Buffered {
     lines: Vec<u8>,
     dropped: u64,
 }
 
-/// Takes lines until its bound, then counts them.
+/// Buffer of at most [`MAX_BUFFERED_BYTES`] that drops further lines and counts them.
 #[derive(Clone, Debug, Default)]
-struct Ring(Arc<Mutex<Waiting>>);
+struct SharedBuffer(Arc<Mutex<Buffered>>);
 
-impl Write for Ring {
+impl Write for SharedBuffer {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let mut waiting = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting.lines.len() + line.len() <= MAX_WAITING {
-            waiting.lines.extend_from_slice(line);
+        let mut buffered = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if buffered.lines.len() + line.len() <= MAX_BUFFERED_BYTES {
+            buffered.lines.extend_from_slice(line);
         } else if line.ends_with(b"\n") {
-            waiting.dropped += 1;
+            buffered.dropped += 1;
         }
         Ok(line.len())
     }
@@ -47,14 +47,14 @@
     }
 }
 
-impl Ring {
-    fn write_out(&self) {
+impl SharedBuffer {
+    fn write_to_stdout(&self) {
         let taken = mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner));
         if taken.lines.is_empty() && taken.dropped == 0 {
             return;
         }
         let mut stdout = io::stdout().lock();
-        // A log that cannot be written has nowhere to be reported.
+        // An error of the log itself cannot be reported anywhere.
         let _ = stdout.write_all(&taken.lines);
         if taken.dropped > 0 {
             let _ =
@@ -64,19 +64,19 @@
     }
 }
 
-/// The log of a process. Dropping it writes what waits.
+/// Log of the process. Buffered lines are written when it is dropped.
 #[derive(Debug)]
 pub struct EventLog {
-    ring: Ring,
-    /// The logger that lines go to.
+    buffer: SharedBuffer,
+    /// Logger that adds the host name to each line.
     pub root: Logger,
 }
 
 impl EventLog {
-    /// Starts the log of the process on `host`.
+    /// Starts the thread that writes the log; each line names `host`.
     pub fn start(host: &str) -> io::Result<EventLog> {
-        let ring = Ring::default();
-        let lines = LineBuffer { ring: ring.clone(), line: Vec::new() };
+        let buffer = SharedBuffer::default();
+        let lines = LineBuffer { buffer: buffer.clone(), line: Vec::new() };
         let json = slog_json::Json::new(lines)
             .set_newlines(true)
             .set_flush(true)
@@ -87,20 +87,20 @@
             .build();
         let drain = Mutex::new(json).map(slog::Fuse);
         let root = Logger::root(drain, slog::o!("host" => host.to_owned()));
-        let writer = ring.clone();
+        let writer_buffer = buffer.clone();
         thread::Builder::new().name("log".to_owned()).stack_size(64 << 10).spawn(move || {
             loop {
-                thread::sleep(WRITE_EVERY);
-                writer.write_out();
+                thread::sleep(WRITE_INTERVAL);
+                writer_buffer.write_to_stdout();
             }
         })?;
-        Ok(EventLog { ring, root })
+        Ok(EventLog { buffer, root })
     }
 }
 
 impl Drop for EventLog {
     fn drop(&mut self) {
-        self.ring.write_out();
+        self.buffer.write_to_stdout();
     }
 }
 
@@ -109,20 +109,20 @@
     now.map_or(0, |since| since.as_millis() as u64)
 }
 
-/// Gathers the pieces of a line, so that a line is kept or dropped as a whole.
+/// Assembles lines from partial writes, so that a line is buffered or dropped as a whole.
 struct LineBuffer {
-    ring: Ring,
+    buffer: SharedBuffer,
     line: Vec<u8>,
 }
 
 impl Write for LineBuffer {
-    fn write(&mut self, piece: &[u8]) -> io::Result<usize> {
-        self.line.extend_from_slice(piece);
-        Ok(piece.len())
+    fn write(&mut self, part: &[u8]) -> io::Result<usize> {
+        self.line.extend_from_slice(part);
+        Ok(part.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
         let line = mem::take(&mut self.line);
-        self.ring.write_all(&line)
+        self.buffer.write_all(&line)
     }
 }
--- a/node/src/direct/metrics.rs
+++ b/node/src/direct/metrics.rs
@@ -1,12 +1,12 @@
-//! Counters and latency histograms of a process on the direct path, served as text.
+//! Counters and latency histograms of a process, in the Prometheus text format.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Upper bounds of the histograms' buckets, in milliseconds: finer round the objectives of 100 to
-/// 400 ms.
+/// Upper bounds of the histogram buckets in milliseconds, finer around the latency objectives of
+/// 100 to 400 ms.
 const BUCKETS_MS: [u64; 12] = [1, 3, 10, 30, 100, 200, 300, 400, 700, 1_500, 3_000, 6_000];
 
 #[derive(Clone, Debug, Default)]
@@ -16,7 +16,7 @@
     sum_ms: u64,
 }
 
-/// The metrics of one process. Names are listed in docs/METRICS.md.
+/// Metrics of one process. docs/METRICS.md lists the names.
 #[derive(Debug, Default)]
 pub struct Metrics {
     counters: RefCell<BTreeMap<&'static str, u64>>,
@@ -24,30 +24,30 @@
 }
 
 impl Metrics {
-    /// Adds one to a counter.
+    /// Increments the counter `name`.
     pub fn count(&self, name: &'static str) {
         self.add(name, 1);
     }
 
-    /// Adds `amount` to a counter.
+    /// Adds `amount` to the counter `name`.
     pub fn add(&self, name: &'static str, amount: u64) {
         *self.counters.borrow_mut().entry(name).or_default() += amount;
     }
 
-    /// Notes how long something took.
-    pub fn time(&self, name: &'static str, span: Duration) {
-        let ms = u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
+    /// Records a duration in the histogram `name`, in whole milliseconds.
+    pub fn time(&self, name: &'static str, duration: Duration) {
+        let ms = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
         let mut histograms = self.histograms.borrow_mut();
         let histogram = histograms.entry(name).or_default();
         histogram.count += 1;
         histogram.sum_ms = histogram.sum_ms.saturating_add(ms);
-        let reached = BUCKETS_MS.iter().position(|bound| ms <= *bound);
-        if let Some(n) = reached {
-            histogram.buckets[n] += 1;
+        let bucket = BUCKETS_MS.iter().position(|bound| ms <= *bound);
+        if let Some(bucket) = bucket {
+            histogram.buckets[bucket] += 1;
         }
     }
 
-    /// All metrics, a line each; buckets are cumulative.
+    /// Formats all metrics, one per line. Histogram buckets are cumulative.
     pub fn to_text(&self) -> String {
         let mut text = String::new();
         for (name, count) in self.counters.borrow().iter() {
--- a/node/src/direct/origin.rs
+++ b/node/src/direct/origin.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use http::StatusCode;
 
-use super::link;
-use super::link::Link;
-use super::link::LinkError;
+use super::connection;
+use super::connection::ConnectionError;
+use super::connection::HttpConnection;
 
 /// Time for a connection; the origin's link is narrow and it takes few of them.
 const CONNECT_WITHIN: Duration = Duration::from_secs(1);
@@ -46,12 +46,12 @@
 
 /// Reads what the origin at `address` has under `path`.
 pub async fn fetch(address: SocketAddr, path: &str) -> Result<Bytes> {
-    let opened = Link::open(address, CONNECT_WITHIN).await;
+    let opened = HttpConnection::open(address, CONNECT_WITHIN).await;
     let mut link = opened.map_err(|_| OriginError::Unreachable)?;
-    let req = link::request("GET", address, path, Bytes::new());
+    let req = connection::build_request("GET", address, path, Bytes::new());
     let answer = link.call(req, MAX_ANSWER_LEN, ANSWER_WITHIN).await.map_err(|e| match e {
-        LinkError::NotSent => OriginError::Unreachable,
-        LinkError::Broken | LinkError::TimedOut => OriginError::Silent,
+        ConnectionError::NotSent => OriginError::Unreachable,
+        ConnectionError::Broken | ConnectionError::TimedOut => OriginError::Silent,
     })?;
     match answer.status() {
         StatusCode::OK => Ok(answer.into_body()),
--- a/node/src/direct/peers.rs
+++ b/node/src/direct/peers.rs
@@ -20,7 +20,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-use super::link;
+use super::connection;
 
 /// Bytes of a message at most.
 pub const MAX_MESSAGE_LEN: u32 = 8 << 20;
@@ -124,7 +124,7 @@
 ) -> Result<T> {
     let mut stream = connect(address).await?;
     let exchange = async {
-        link::prepare(&stream)?;
+        connection::set_socket_options(&stream)?;
         write(&mut stream, req).await?;
         read(&mut stream).await
     };
@@ -163,7 +163,7 @@
 ) -> Result<std::result::Result<Bytes, PeerReply>> {
     let mut stream = connect(address).await?;
     let exchange = async {
-        link::prepare(&stream)?;
+        connection::set_socket_options(&stream)?;
         write(&mut stream, req).await?;
         read(&mut stream).await
     };
--- a/node/src/direct/publisher.rs
+++ b/node/src/direct/publisher.rs
@@ -20,9 +20,9 @@
 use tokio::time::timeout;
 
 use super::chunk_server;
+use super::connection;
 use super::followers::Outbox;
 use super::followers::frame_of;
-use super::link;
 use super::peers;
 use super::replication::ReplicationError;
 use super::replication::Result;
@@ -68,7 +68,7 @@
 }
 
 async fn serve_one(state: &Rc<State>, mut stream: TcpStream) -> Result<()> {
-    link::prepare(&stream)?;
+    connection::set_socket_options(&stream)?;
     let hello = timeout(HELLO_WITHIN, peers::read(&mut stream)).await;
     match hello.map_err(|_| ReplicationError::Silent)?? {
         Hello::Follow { ip, config_version } => {
--- a/node/src/direct/replication/parent.rs
+++ b/node/src/direct/replication/parent.rs
@@ -20,7 +20,7 @@
 
 use super::ReplicationError;
 use super::Result;
-use crate::direct::link;
+use crate::direct::connection;
 use crate::direct::peers;
 use crate::direct::state::State;
 
@@ -54,7 +54,7 @@
     let address = SocketAddr::new(parent, state.cfg.agent_port);
     let connected = timeout(CONNECT_WITHIN, TcpStream::connect(address)).await;
     let mut stream = connected.map_err(|_| ReplicationError::Silent)??;
-    link::prepare(&stream)?;
+    connection::set_socket_options(&stream)?;
     let hello = Hello::Follow { ip: state.cfg.ip, config_version: state.config_version() };
     peers::write(&mut stream, &hello).await?;
     let (mut read, write) = stream.into_split();
--- a/node/src/direct/settings.rs
+++ b/node/src/direct/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the programs on the direct path (TOML).
+//! Settings files (TOML) of the programs on the direct path.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -18,67 +18,68 @@
 /// Result of reading settings.
 pub type Result<T> = std::result::Result<T, SettingsError>;
 
-/// Settings of one process.
+/// Settings of an entry or an agent.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DirectSettings {
     /// Name of this host.
     pub host: HostName,
-    /// Its IP number.
+    /// IP address of this host, on which the process listens.
     pub ip: IpAddr,
-    /// Its availability zone.
+    /// Availability zone of this host.
     pub zone: ZoneName,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Control addresses of entries that one which starts may ask first; some may be down.
+    /// Control addresses of entries that a starting entry may contact first; some may be down.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// UDP and TCP port on which agents listen for entries and peers, the same on all hosts.
+    /// UDP and TCP port on which agents and entries accept requests of each other, the same on all
+    /// hosts.
     pub agent_port: u16,
-    /// Port of the metrics page.
+    /// Port on which the metrics are served.
     pub metrics_port: u16,
-    /// Where an entry listens for callers.
+    /// Address on which an entry accepts callers; required for entries.
     #[serde(default)]
     pub callers: Option<SocketAddr>,
-    /// Where an entry tells the balancer whether it is ready.
+    /// Address on which an entry serves its readiness to the balancer; required for entries.
     #[serde(default)]
     pub ready: Option<SocketAddr>,
-    /// The endpoint beside an agent.
+    /// Address of the endpoint on the agent's host; required for agents.
     #[serde(default)]
     pub endpoint: Option<SocketAddr>,
-    /// The service of that endpoint.
+    /// Service that the agent's endpoint belongs to.
     #[serde(default)]
     pub service: Option<ServiceName>,
     /// Region of each availability zone.
     pub regions: BTreeMap<ZoneName, RegionName>,
-    /// Bounds that hold over the whole deployment.
+    /// Limits on the deployment as a whole.
     pub bounds: Bounds,
-    /// What this process may use.
+    /// Resource limits of this process.
     pub limits: Limits,
 }
 
-/// Bounds that the operators set for the whole deployment.
+/// Limits that the operators set for the whole deployment.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Milliseconds after which a key that was taken away must not work anywhere.
+    /// Milliseconds after which a revoked key must be rejected by every entry.
     pub key_revocation_ms: u64,
-    /// Milliseconds after which no request may begin on an older version of weights.
+    /// Milliseconds after the release of new weights from which on no request may start on older ones.
     pub weights_ms: u64,
-    /// Milliseconds after which an endpoint that leaves must get nothing more.
+    /// Milliseconds after which a draining endpoint must receive no more requests.
     pub leave_ms: u64,
     /// Seconds from SIGTERM to SIGKILL.
     pub stop_s: f64,
-    /// Further attempts a request, of all entries together.
+    /// Retries allowed per request, over all entries.
     pub repeat_ratio: f64,
-    /// Further attempts beyond that ratio, of all entries together.
+    /// Retries allowed in addition to `repeat_ratio`, over all entries.
     pub repeat_slack: f64,
-    /// Seconds over which further attempts are counted.
+    /// Length in seconds of the window in which requests and retries are counted.
     pub repeat_window_s: f64,
 }
 
 impl Bounds {
-    /// How old what is known of the endpoints may be.
+    /// Age limits of the endpoint list, derived from `leave_ms`.
     pub fn age_limits(&self) -> AgeLimits {
         AgeLimits::new(Duration::from_millis(self.leave_ms))
     }
@@ -89,23 +90,23 @@
     }
 }
 
-/// What a process may use.
+/// Resource limits of a process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Open files and sockets.
+    /// Open file descriptors.
     pub descriptors: usize,
-    /// Memory in MB.
+    /// Memory, in MB.
     pub memory_mb: usize,
 }
 
 impl DirectSettings {
-    /// The region of each zone.
+    /// Map of each availability zone to its region.
     pub fn regions(&self) -> HashMap<ZoneName, RegionName> {
         self.regions.iter().map(|(zone, region)| (zone.clone(), region.clone())).collect()
     }
 
-    /// The region of this host.
+    /// Region of this host; empty if `regions` lacks its zone.
     pub fn region(&self) -> RegionName {
         self.regions.get(&self.zone).cloned().unwrap_or_default()
     }
--- a/node/src/direct/staging.rs
+++ b/node/src/direct/staging.rs
@@ -14,9 +14,9 @@
 use sha2::Digest as _;
 use sha2::Sha256;
 
-use super::link;
-use super::link::Link;
-use super::link::LinkError;
+use super::connection;
+use super::connection::ConnectionError;
+use super::connection::HttpConnection;
 
 /// Bytes of an answer at most: a chunk, with room for larger ones than today's.
 const MAX_ANSWER_LEN: usize = 4 << 20;
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StagingError {
     /// It cannot be reached or did not answer.
-    Link(LinkError),
+    Link(ConnectionError),
     /// It does not have what was asked for.
     Absent,
     /// It answered with this status.
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 pub struct Staging {
     address: SocketAddr,
-    kept: RefCell<Vec<Link>>,
+    kept: RefCell<Vec<HttpConnection>>,
 }
 
 impl Staging {
@@ -79,12 +79,14 @@
     }
 
     async fn call(&self, method: &str, path: &str, body: Bytes) -> Result<Response<Bytes>> {
-        let kept = self.kept.borrow_mut().pop().filter(Link::is_ready);
+        let kept = self.kept.borrow_mut().pop().filter(HttpConnection::is_ready);
         let mut link = match kept {
             Some(link) => link,
-            None => Link::open(self.address, CALL_WITHIN).await.map_err(StagingError::Link)?,
+            None => {
+                HttpConnection::open(self.address, CALL_WITHIN).await.map_err(StagingError::Link)?
+            }
         };
-        let req = link::request(method, self.address, path, body);
+        let req = connection::build_request(method, self.address, path, body);
         let answer = link.call(req, MAX_ANSWER_LEN, CALL_WITHIN).await;
         let answer = answer.map_err(StagingError::Link)?;
         if link.ready().await && self.kept.borrow().len() < MAX_KEPT {
--- a/node/src/direct/state.rs
+++ b/node/src/direct/state.rs
@@ -36,7 +36,7 @@
 use super::chunk_cache::ChunkCache;
 use super::followers::Publisher;
 use super::metrics::Metrics;
-use super::pool::Pool;
+use super::pool::ConnectionPool;
 use super::settings::DirectSettings;
 use crate::clock::BootClock;
 
@@ -82,7 +82,7 @@
     /// Versions of each model.
     pub versions: RefCell<HashMap<SmolStr, Versions>>,
     /// Idle connections to endpoints.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// Signals that a place at an endpoint has become free.
     pub freed: Notify,
     /// Signals that a new version was named.
@@ -138,7 +138,7 @@
             has_young_list: Cell::new(false),
             freshness: RefCell::new(Freshness::new(lease)),
             versions: RefCell::default(),
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             freed: Notify::new(),
             named: Notify::new(),
             is_stopping: Cell::new(false),
--- a/node/src/direct/steps.rs
+++ b/node/src/direct/steps.rs
@@ -1,25 +1,25 @@
-//! Where the time of a request goes between its head and the head of its answer, or its first event.
+//! Breakdown of a request's latency, up to the head of its response or its first event.
 
 use std::time::Duration;
 
-/// Time of each step of one request, summed over its attempts.
+/// Time that one request spent in each step, summed over its attempts.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct StepTimes {
-    /// Until its body was read.
+    /// Reading the request, including its body.
     pub read: Duration,
-    /// Waiting for endpoints with room.
+    /// Choosing endpoints, including the wait for a free place.
     pub place: Duration,
-    /// Making connections.
+    /// Opening connections.
     pub connect: Duration,
-    /// Attempts that brought no usable answer, their connections left out.
+    /// Attempts without a usable response, excluding `connect`.
     pub lost: Duration,
-    /// The attempt that was answered, its connection left out.
+    /// The successful attempt, excluding `connect`.
     pub run: Duration,
 }
 
 impl StepTimes {
-    /// The steps in the order in which a request takes them, with their names in logs and metrics.
-    pub fn named(&self) -> [(&'static str, Duration); 5] {
+    /// Steps in the order in which they happen, each with the name of its histogram.
+    pub fn with_metric_names(&self) -> [(&'static str, Duration); 5] {
         [
             ("step_read", self.read),
             ("step_place", self.place),
--- a/node/src/direct/store.rs
+++ b/node/src/direct/store.rs
@@ -14,9 +14,9 @@
 use smol_str::SmolStr;
 use tokio::time::timeout;
 
-use super::link;
-use super::link::Link;
-use super::link::LinkError;
+use super::connection;
+use super::connection::ConnectionError;
+use super::connection::HttpConnection;
 use super::metrics::Metrics;
 
 /// Bytes of an answer at most: a page holds about 1 MB.
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreError {
     /// No connection, no answer in time, or the connection broke off.
-    Link(LinkError),
+    Link(ConnectionError),
     /// The store is limiting the rate of calls.
     Throttled,
     /// The store refuses to work now.
@@ -67,7 +67,7 @@
 pub struct StoreClient {
     address: SocketAddr,
     metrics: Rc<Metrics>,
-    link: Option<Link>,
+    link: Option<HttpConnection>,
 }
 
 /// What a call to the store is for, by its name in the metrics.
@@ -128,15 +128,18 @@
     async fn get(&mut self, path: &str, within: Duration) -> Result<Bytes> {
         let mut link = match self.link.take() {
             Some(link) if link.is_ready() => link,
-            _ => Link::open(self.address, CONNECT_WITHIN).await.map_err(StoreError::Link)?,
+            _ => HttpConnection::open(self.address, CONNECT_WITHIN)
+                .await
+                .map_err(StoreError::Link)?,
         };
-        let req = link::request("GET", self.address, path, Bytes::new());
+        let req = connection::build_request("GET", self.address, path, Bytes::new());
         // After a failure the link is dropped: a connection on which an answer was lost returns
         // nothing any more.
         let sent = timeout(within, link.send(req)).await;
-        let response = sent.unwrap_or(Err(LinkError::TimedOut)).map_err(StoreError::Link)?;
+        let response = sent.unwrap_or(Err(ConnectionError::TimedOut)).map_err(StoreError::Link)?;
         let (head, body) = response.into_parts();
-        let body = link::whole_steadily(body, MAX_ANSWER_LEN, ANSWER_WITHIN).await;
+        let body =
+            connection::collect_body_with_idle_timeout(body, MAX_ANSWER_LEN, ANSWER_WITHIN).await;
         let body = body.map_err(StoreError::Link)?;
         if link.ready().await {
             self.link = Some(link);
--- a/node/src/direct/stream.rs
+++ b/node/src/direct/stream.rs
@@ -1,4 +1,4 @@
-//! Streams of events on their way to a caller, and their continuation at another endpoint.
+//! Relays event streams to callers and resumes interrupted ones at another endpoint.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,185 +12,213 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use super::attempt::FIRST_EVENT_WITHIN;
-use super::attempt::Outcome;
-use super::attempt::Run;
-use super::attempt::attempt;
-use super::attempt::note_failure;
+use super::attempt::AttemptOutcome;
+use super::attempt::EndpointResponse;
+use super::attempt::FIRST_EVENT_TIMEOUT;
+use super::attempt::record_failed_attempt;
+use super::attempt::send_to_endpoint;
 use super::call::Call;
-use super::call::Trail;
-use super::link::LinkError;
-use super::placement::next_endpoint;
+use super::call::CallHistory;
+use super::connection::ConnectionError;
 use super::pool;
-use super::relay::AnswerBody;
-use super::relay::BrokenOff;
-use super::relay::PIECES;
+use super::response_body::ResponseAborted;
+use super::response_body::ResponseBody;
+use super::response_body::STREAM_CHANNEL_CAPACITY;
+use super::selection::next_endpoint;
 use super::state::State;
 
-/// Result of passing on a part of a stream.
-pub type Result<T> = std::result::Result<T, LinkError>;
+/// Result of reading from a stream.
+pub type Result<T> = std::result::Result<T, ConnectionError>;
 
-/// Silence after which a stream is continued at another endpoint: longer than a busy endpoint pauses between
-/// events, and in time before callers leave.
-const SILENT_STREAM: Duration = Duration::from_millis(1_200);
+/// Time without an event after which a stream is resumed at another endpoint. It is longer than the
+/// pauses between events of a busy endpoint, and short enough that callers have not yet given up.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Waits for the first event, then passes the stream on from a task of its own. Until then a failure
-/// can still become an attempt at another endpoint.
-pub(super) async fn begin_stream(
+/// Waits for the first event and spawns a task that relays the stream. Before the first event a
+/// failure can still be retried at another endpoint, as the caller has received nothing.
+pub(super) async fn start_stream(
     state: &Rc<State>,
     call: &Rc<Call>,
-    mut run: Run,
-    trail: &mut Trail,
-) -> Result<Response<AnswerBody>> {
+    mut response: EndpointResponse,
+    history: &mut CallHistory,
+) -> Result<Response<ResponseBody>> {
     let mut head = Response::new(());
-    *head.status_mut() = run.response.status();
-    *head.headers_mut() = answer::caller_headers(run.response.headers().clone());
-    let mut cutter = EventSplitter::default();
-    let patience = match call.route.retry_policy {
-        RetryPolicy::Resumable => FIRST_EVENT_WITHIN,
+    *head.status_mut() = response.response.status();
+    *head.headers_mut() = answer::caller_headers(response.response.headers().clone());
+    let mut splitter = EventSplitter::default();
+    let first_event_timeout = match call.route.retry_policy {
+        RetryPolicy::Resumable => FIRST_EVENT_TIMEOUT,
         RetryPolicy::Idempotent | RetryPolicy::AtMostOnce => call.deadline.since(state.now()),
     };
-    let wait = patience.min(call.deadline.since(state.now()));
-    let first = timeout(wait, next_events(&mut run, &mut cutter)).await;
-    let first = match first.unwrap_or(Err(LinkError::TimedOut)) {
+    let time_limit = first_event_timeout.min(call.deadline.since(state.now()));
+    let first = timeout(time_limit, read_events(&mut response, &mut splitter)).await;
+    let first = match first.unwrap_or(Err(ConnectionError::TimedOut)) {
         Ok(first) => first,
         Err(e) => {
-            trail.may_have_run = true;
-            note_failure(state, call, &run.listed, run.place.endpoint, e, "first event");
+            history.may_have_run = true;
+            record_failed_attempt(
+                state,
+                call,
+                &response.record,
+                response.place.endpoint,
+                e,
+                "first event",
+            );
             return Err(e);
         }
     };
-    state.metrics.time("first_event", state.now().since(call.arrived));
-    let (tx, rx) = mpsc::channel(PIECES);
+    state.metrics.time("first_event", state.now().since(call.received_at));
+    let (tx, rx) = mpsc::channel(STREAM_CHANNEL_CAPACITY);
     let Some(first) = first else {
-        return Ok(head.map(|()| AnswerBody::whole(Bytes::new())));
+        return Ok(head.map(|()| ResponseBody::full(Bytes::new())));
     };
     let _ = tx.try_send(Ok(first));
-    let trail = trail.clone();
-    tokio::task::spawn_local(pass_stream(state.clone(), call.clone(), run, cutter, trail, tx));
-    Ok(head.map(|()| AnswerBody::Pieces(rx)))
+    let history = history.clone();
+    tokio::task::spawn_local(relay_stream(
+        state.clone(),
+        call.clone(),
+        response,
+        splitter,
+        history,
+        tx,
+    ));
+    Ok(head.map(|()| ResponseBody::Streamed(rx)))
 }
 
-/// The next whole events, `None` at the proper end of the stream.
-async fn next_events(run: &mut Run, cutter: &mut EventSplitter) -> Result<Option<Bytes>> {
+/// Reads the next complete events; `None` at the end of the stream.
+async fn read_events(
+    response: &mut EndpointResponse,
+    splitter: &mut EventSplitter,
+) -> Result<Option<Bytes>> {
     loop {
-        let Some(frame) = run.response.body_mut().frame().await else {
-            // An end inside an event is no end.
-            return if cutter.is_at_boundary() { Ok(None) } else { Err(LinkError::Broken) };
+        let Some(frame) = response.response.body_mut().frame().await else {
+            // A stream that ends inside an event is truncated.
+            return if splitter.is_at_boundary() { Ok(None) } else { Err(ConnectionError::Broken) };
         };
-        let frame = frame.map_err(|_| LinkError::Broken)?;
+        let frame = frame.map_err(|_| ConnectionError::Broken)?;
         let Ok(bytes) = frame.into_data() else {
             continue;
         };
-        if let Some(events) = cutter.push(&bytes).map_err(|_| LinkError::Broken)? {
+        if let Some(events) = splitter.push(&bytes).map_err(|_| ConnectionError::Broken)? {
             return Ok(Some(events));
         }
     }
 }
 
-type PieceSender = mpsc::Sender<std::result::Result<Bytes, BrokenOff>>;
+type BodySender = mpsc::Sender<std::result::Result<Bytes, ResponseAborted>>;
 
-/// How one run of a stream ended.
+/// How the stream from one endpoint ended.
 enum StreamEnd {
-    Whole,
-    CallerLeft,
-    Broken(LinkError),
+    Complete,
+    CallerDisconnected,
+    Broken(ConnectionError),
 }
 
-/// Passes events on until the stream ends, going on at another endpoint where it breaks off.
-async fn pass_stream(
+/// Relays events until the stream ends, and resumes it at another endpoint when it is interrupted.
+async fn relay_stream(
     state: Rc<State>,
     call: Rc<Call>,
-    mut run: Run,
-    mut cutter: EventSplitter,
-    mut trail: Trail,
-    tx: PieceSender,
+    mut response: EndpointResponse,
+    mut splitter: EventSplitter,
+    mut history: CallHistory,
+    tx: BodySender,
 ) {
     loop {
-        let end = pass_run(&state, &call, &mut run, &mut cutter, &tx).await;
+        let end = relay_events(&state, &call, &mut response, &mut splitter, &tx).await;
         match end {
-            StreamEnd::Whole => return end_run(&state, run).await,
-            StreamEnd::CallerLeft => {
+            StreamEnd::Complete => return finish_response(&state, response).await,
+            StreamEnd::CallerDisconnected => {
                 state.metrics.count("callers_left");
                 return;
             }
             StreamEnd::Broken(e) => {
-                note_failure(&state, &call, &run.listed, run.place.endpoint, e, "stream");
+                record_failed_attempt(
+                    &state,
+                    &call,
+                    &response.record,
+                    response.place.endpoint,
+                    e,
+                    "stream",
+                );
             }
         }
-        drop(run);
-        match resume(&state, &call, &mut cutter, &mut trail).await {
-            Some(next) => run = next,
+        drop(response);
+        match resume_stream(&state, &call, &mut splitter, &mut history).await {
+            Some(next) => response = next,
             None => {
                 slog::warn!(state.log, "stream broken off";
                     "id" => call.head.id.as_deref().unwrap_or_default(),
-                    "route" => call.route.name.as_str(), "offers" => trail.offers(),
+                    "route" => call.route.name.as_str(), "offers" => history.tried_count(),
                     "left_ms" => call.deadline.since(state.now()).as_millis() as u64);
                 state.metrics.count("streams_broken_off");
-                let _ = tx.send(Err(BrokenOff)).await;
+                let _ = tx.send(Err(ResponseAborted)).await;
                 return;
             }
         }
     }
 }
 
-async fn pass_run(
+async fn relay_events(
     state: &State,
     call: &Call,
-    run: &mut Run,
-    cutter: &mut EventSplitter,
-    tx: &PieceSender,
+    response: &mut EndpointResponse,
+    splitter: &mut EventSplitter,
+    tx: &BodySender,
 ) -> StreamEnd {
     loop {
-        let left = call.deadline.since(state.now());
-        let silence =
-            if call.route.retry_policy == RetryPolicy::Resumable { SILENT_STREAM } else { left };
+        let remaining = call.deadline.since(state.now());
+        let idle_timeout = if call.route.retry_policy == RetryPolicy::Resumable {
+            STREAM_IDLE_TIMEOUT
+        } else {
+            remaining
+        };
         let events = tokio::select! {
-            events = timeout(silence.min(left), next_events(run, cutter)) => events,
-            () = tx.closed() => return StreamEnd::CallerLeft,
+            events = timeout(idle_timeout.min(remaining), read_events(response, splitter)) => events,
+            () = tx.closed() => return StreamEnd::CallerDisconnected,
         };
-        match events.unwrap_or(Err(LinkError::TimedOut)) {
+        match events.unwrap_or(Err(ConnectionError::TimedOut)) {
             Ok(Some(events)) => {
                 if tx.send(Ok(events)).await.is_err() {
-                    return StreamEnd::CallerLeft;
+                    return StreamEnd::CallerDisconnected;
                 }
             }
-            Ok(None) => return StreamEnd::Whole,
+            Ok(None) => return StreamEnd::Complete,
             Err(e) => return StreamEnd::Broken(e),
         }
     }
 }
 
-async fn end_run(state: &State, run: Run) {
-    let Run { listed, mut link, place, response } = run;
+async fn finish_response(state: &State, response: EndpointResponse) {
+    let EndpointResponse { record, mut connection, place, response } = response;
     state.endpoints.borrow_mut().record_success(place.endpoint);
     drop(place);
-    let span = pool::idle_span(response.headers());
+    let keep_alive = pool::parse_keep_alive(response.headers());
     drop(response);
-    if link.ready().await {
-        state.pool.put(listed.address, &listed.id, link, span, state.now());
+    if connection.ready().await {
+        state.pool.put(record.address, &record.id, connection, keep_alive, state.now());
     }
 }
 
-/// Starts another run of a broken stream after the last event that was passed on.
-async fn resume(
+/// Resumes an interrupted stream at another endpoint, after the last event relayed; `None` if the
+/// route doesn't allow it, no event had an id, or no endpoint accepts it.
+async fn resume_stream(
     state: &Rc<State>,
     call: &Call,
-    cutter: &mut EventSplitter,
-    trail: &mut Trail,
-) -> Option<Run> {
+    splitter: &mut EventSplitter,
+    history: &mut CallHistory,
+) -> Option<EndpointResponse> {
     if call.route.retry_policy != RetryPolicy::Resumable {
         return None;
     }
-    cutter.drop_partial();
-    let last = cutter.last_id()?.clone();
+    splitter.drop_partial();
+    let last_id = splitter.last_id()?.clone();
     loop {
-        let endpoint = next_endpoint(state, call, trail).await.ok()?;
-        if let Outcome::Answering(run) =
-            attempt(state, call, endpoint, trail, Some(last.as_str())).await
+        let endpoint = next_endpoint(state, call, history).await.ok()?;
+        if let AttemptOutcome::Responding(response) =
+            send_to_endpoint(state, call, endpoint, history, Some(last_id.as_str())).await
         {
             state.metrics.count("streams_resumed");
-            return Some(*run);
+            return Some(*response);
         }
     }
 }
--- a/node/src/direct/swarm/serving.rs
+++ b/node/src/direct/swarm/serving.rs
@@ -18,7 +18,7 @@
 use super::SwarmHost;
 use super::pulls::Chunks;
 use super::pulls::Pull;
-use crate::direct::link;
+use crate::direct::connection;
 use crate::direct::peers;
 use crate::direct::peers::PeerReply;
 use crate::direct::peers::PeerRequest;
@@ -49,7 +49,7 @@
     }
 
     async fn serve_peer(&self, mut stream: TcpStream) -> std::io::Result<()> {
-        link::prepare(&stream)?;
+        connection::set_socket_options(&stream)?;
         let req: PeerRequest = peers::read(&mut stream).await?;
         let reply = match req {
             PeerRequest::Have { version } => self.tell_have(version),
--- a/node/src/direct/swarm/sources.rs
+++ b/node/src/direct/swarm/sources.rs
@@ -23,7 +23,7 @@
 use super::pulls::Pull;
 use super::pulls::Target;
 use crate::direct::chunk_server;
-use crate::direct::link::LinkError;
+use crate::direct::connection::ConnectionError;
 use crate::direct::origin;
 use crate::direct::origin::OriginError;
 use crate::direct::peers;
@@ -251,7 +251,7 @@
         let began = self.clock.now();
         loop {
             let staged = self.staging.stage(&target.model, index, bytes.clone()).await;
-            let is_down = staged == Err(StagingError::Link(LinkError::NotSent));
+            let is_down = staged == Err(StagingError::Link(ConnectionError::NotSent));
             let is_wanted = self.is_staged(target.digest);
             if !is_down || !is_wanted || self.clock.now().passed(began, ENDPOINT_STARTS_WITHIN) {
                 return staged;
--- a/node/tests/direct/link.rs
+++ b/node/tests/direct/connection.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use mastichaven_node::direct::link;
-use mastichaven_node::direct::link::Link;
-use mastichaven_node::direct::link::LinkError;
+use mastichaven_node::direct::connection;
+use mastichaven_node::direct::connection::ConnectionError;
+use mastichaven_node::direct::connection::HttpConnection;
 
 const PARTS: usize = 6;
 const BETWEEN_PARTS: Duration = Duration::from_millis(100);
@@ -30,13 +30,14 @@
     address
 }
 
-fn read_with_pauses_of(pause: Duration) -> Result<Bytes, LinkError> {
+fn read_with_pauses_of(pause: Duration) -> Result<Bytes, ConnectionError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async {
         let address = slow_server();
-        let mut link = Link::open(address, Duration::from_secs(5)).await?;
-        let answer = link.send(link::request("GET", address, "/", Bytes::new())).await?;
-        link::whole_steadily(answer.into_body(), 1_024, pause).await
+        let mut link = HttpConnection::open(address, Duration::from_secs(5)).await?;
+        let answer =
+            link.send(connection::build_request("GET", address, "/", Bytes::new())).await?;
+        connection::collect_body_with_idle_timeout(answer.into_body(), 1_024, pause).await
     })
 }
 
@@ -50,5 +51,5 @@
 
 #[test]
 fn whole_steadily_gives_up_a_body_that_stops() {
-    assert_eq!(read_with_pauses_of(BETWEEN_PARTS / 10), Err(LinkError::TimedOut));
+    assert_eq!(read_with_pauses_of(BETWEEN_PARTS / 10), Err(ConnectionError::TimedOut));
 }
--- a/node/tests/direct/fixture.rs
+++ b/node/tests/direct/fixture.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use mastichaven_node::direct::link;
-use mastichaven_node::direct::link::Link;
-use mastichaven_node::direct::link::LinkError;
+use mastichaven_node::direct::connection;
+use mastichaven_node::direct::connection::ConnectionError;
+use mastichaven_node::direct::connection::HttpConnection;
 use mastichaven_standins::served::endpoint::ServedEndpoint;
 use mastichaven_standins::served::origin::ServedOrigin;
 use mastichaven_standins::served::site;
@@ -270,15 +270,15 @@
     }
 
     /// Sends a request under `key`; `Err` when the answer broke off or none came.
-    pub fn ask(&self, path: &str, id: &str, key: &str) -> Result<Answer, LinkError> {
+    pub fn ask(&self, path: &str, id: &str, key: &str) -> Result<Answer, ConnectionError> {
         let method = if path.starts_with("/lookup/") { "GET" } else { "POST" };
-        let mut req = link::request(method, self.callers, path, "the body".into());
+        let mut req = connection::build_request(method, self.callers, path, "the body".into());
         for (name, value) in site::caller_headers(id, key) {
             req.headers_mut().insert(name, value.parse().expect("a valid value"));
         }
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let answer = runtime.expect("a runtime").block_on(async {
-            let mut link = Link::open(self.callers, PATIENCE).await?;
+            let mut link = HttpConnection::open(self.callers, PATIENCE).await?;
             link.call(req, 1 << 20, PATIENCE).await
         })?;
         let header = |name| answer.headers().get(name).and_then(|v| v.to_str().ok());
--- a/node/tests/direct/main.rs
+++ b/node/tests/direct/main.rs
@@ -1,15 +1,15 @@
 //! The programs on the direct path as processes of their own, against stand-ins of the platform.
 
 mod agent;
+mod attempts;
 mod chunk_cache;
+mod connection;
 mod entry;
 mod explain;
 mod fixture;
-mod link;
-mod outcomes;
 mod parents;
 mod peers;
 mod replication;
 mod settings;
-mod stops;
+mod shutdown;
 mod updates;
--- a/node/tests/direct/stops.rs
+++ b/node/tests/direct/shutdown.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use mastichaven_node::direct::link::LinkError;
+use mastichaven_node::direct::connection::ConnectionError;
 
 use super::fixture::Site;
 use super::fixture::until;
@@ -27,7 +27,7 @@
                 n += 1;
                 // Connections that are refused go to another entry; those that were read must end.
                 let asked = entry.ask("/stream/a", &format!("s{n}"), "key-1");
-                if matches!(asked, Err(LinkError::Broken | LinkError::TimedOut)) {
+                if matches!(asked, Err(ConnectionError::Broken | ConnectionError::TimedOut)) {
                     broken += 1;
                 }
             }
