--- a/node/tests/direct/agent.rs
+++ b/node/tests/direct/agent.rs
@@ -21,8 +21,8 @@
     version: Option<u64>,
 ) -> Vec<(ServedEndpoint, Program)> {
     let start = |n| {
-        let endpoint = site.endpoint(&format!("i-{n}"), "writer", version);
-        let agent = site.agent(&format!("{test}-{n}"), &endpoint);
+        let endpoint = site.start_endpoint(&format!("i-{n}"), "writer", version);
+        let agent = site.start_agent(&format!("{test}-{n}"), &endpoint);
         (endpoint, agent)
     };
     (0..count).map(start).collect()
@@ -37,17 +37,17 @@
 fn new_endpoint_gets_weights_from_peers() {
     let site = Site::start();
     let old = fleet(&site, "peers", 2, Some(1));
-    let entry = site.entry("peers");
+    let entry = site.start_entry("peers");
     until("old ones know the digests", || {
         old.iter().all(|(_, agent)| agent.log().contains("digests known"))
     });
-    let new = site.endpoint("i-new", "writer", None);
-    let _agent = site.agent("peers-new", &new);
+    let new = site.start_endpoint("i-new", "writer", None);
+    let _agent = site.start_agent("peers-new", &new);
     until("the new one answers from version 1", || new.version() == Some(1));
     assert_eq!(new.mixed_loads(), 0);
     assert_eq!(site.origin.chunks_sent(), 0);
     until("it is sent requests", || {
-        let _ = entry.ask("/stream/a", "a", "key-1");
+        let _ = entry.send_request("/stream/a", "a", "key-1");
         !new.runs().is_empty()
     });
 }
@@ -58,13 +58,13 @@
 fn new_version_reaches_all_while_callers_are_answered() {
     let site = Site::start();
     let fleet = fleet(&site, "version", 3, Some(1));
-    let entry = site.entry("version");
+    let entry = site.start_entry("version");
     until("agents report", || entry.dump()["entries"] == 1);
     name_version(&site, 2);
     let mut asked = 0;
     until("all hold version 2", || {
         asked += 1;
-        let answer = entry.ask("/stream/a", &format!("s{asked}"), "key-1").unwrap();
+        let answer = entry.send_request("/stream/a", &format!("s{asked}"), "key-1").unwrap();
         assert_eq!(answer.status, 200, "{answer:?}");
         all_hold(&fleet, 2)
     });
@@ -77,7 +77,7 @@
 fn rotten_chunks_are_never_loaded() {
     let site = Site::start();
     let fleet = fleet(&site, "rotten", 2, Some(1));
-    let _entry = site.entry("rotten");
+    let _entry = site.start_entry("rotten");
     until("digests known", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
     name_version(&site, 2);
     for _ in 0..60 {
@@ -95,7 +95,7 @@
 fn version_comes_after_an_outage_of_the_origin() {
     let site = Site::start();
     let fleet = fleet(&site, "outage", 2, Some(1));
-    let _entry = site.entry("outage");
+    let _entry = site.start_entry("outage");
     until("digests known", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
     site.origin.set_down(true);
     name_version(&site, 2);
@@ -115,7 +115,7 @@
 fn two_versions_in_a_row_never_mix() {
     let site = Site::start();
     let fleet = fleet(&site, "row", 3, Some(1));
-    let _entry = site.entry("row");
+    let _entry = site.start_entry("row");
     until("digests known", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
     name_version(&site, 2);
     thread::sleep(Duration::from_millis(900));
@@ -130,14 +130,14 @@
 fn agents_killed_midway_go_on() {
     let site = Site::start();
     let mut fleet = fleet(&site, "killed", 2, Some(1));
-    let _entry = site.entry("killed");
+    let _entry = site.start_entry("killed");
     until("digests known", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
     name_version(&site, 2);
     until("a chunk has come", || site.origin.chunks_sent() > 0);
     for (n, (endpoint, agent)) in fleet.iter_mut().enumerate() {
         agent.signal("KILL");
         agent.wait();
-        *agent = site.agent(&format!("killed-again-{n}"), endpoint);
+        *agent = site.start_agent(&format!("killed-again-{n}"), endpoint);
     }
     until("all hold version 2", || all_hold(&fleet, 2));
     assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
@@ -149,10 +149,10 @@
 #[test]
 fn restarted_agent_learns_its_service_from_an_entry() {
     let site = Site::start();
-    let endpoint = site.endpoint("i-w", "writer", Some(1));
-    let _entry = site.entry("told-entry");
+    let endpoint = site.start_endpoint("i-w", "writer", Some(1));
+    let _entry = site.start_entry("told-entry");
     site.store.set_fault(StoreFault::Silent);
-    let agent = site.agent("told-agent", &endpoint);
+    let agent = site.start_agent("told-agent", &endpoint);
     until("the service is known", || agent.log().contains("service known"));
     site.store.set_fault(StoreFault::None);
 }
@@ -162,13 +162,13 @@
 fn new_endpoint_gets_weights_while_the_store_is_away() {
     let site = Site::start();
     let old = fleet(&site, "away", 2, Some(1));
-    let entry = site.entry("away");
+    let entry = site.start_entry("away");
     name_version(&site, 2);
     until("all hold version 2", || all_hold(&old, 2));
-    let new = site.endpoint("i-new", "writer", None);
+    let new = site.start_endpoint("i-new", "writer", None);
     until("it is known", || entry.dump()["endpoints"].as_array().is_some_and(|all| all.len() == 3));
     site.store.set_fault(StoreFault::Silent);
-    let _agent = site.agent("away-new", &new);
+    let _agent = site.start_agent("away-new", &new);
     until("it answers from version 2", || new.version() == Some(2));
     site.store.set_fault(StoreFault::None);
 }
--- a/node/tests/direct/connection.rs
+++ b/node/tests/direct/connection.rs
@@ -11,10 +11,10 @@
 use mastichaven_node::direct::connection::HttpConnection;
 
 const PARTS: usize = 6;
-const BETWEEN_PARTS: Duration = Duration::from_millis(100);
+const PART_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Serves one answer whose body comes in parts with pauses between them.
-fn slow_server() -> SocketAddr {
+/// Serves one response and sends its body in parts, at intervals of [`PART_INTERVAL`].
+fn spawn_slow_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
     let address = listener.local_addr().expect("bound");
     thread::spawn(move || {
@@ -22,34 +22,34 @@
         let _ = stream.read(&mut [0; 1_024]).expect("a request");
         write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {PARTS}\r\n\r\n").expect("written");
         for _ in 0..PARTS {
-            // The caller may have given up by now.
+            // The client may have closed the connection.
             let _ = stream.write_all(b"x");
-            thread::sleep(BETWEEN_PARTS);
+            thread::sleep(PART_INTERVAL);
         }
     });
     address
 }
 
-fn read_with_pauses_of(pause: Duration) -> Result<Bytes, ConnectionError> {
+fn read_with_idle_timeout(idle_timeout: Duration) -> Result<Bytes, ConnectionError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async {
-        let address = slow_server();
-        let mut link = HttpConnection::open(address, Duration::from_secs(5)).await?;
-        let answer =
-            link.send(connection::build_request("GET", address, "/", Bytes::new())).await?;
-        connection::collect_body_with_idle_timeout(answer.into_body(), 1_024, pause).await
+        let address = spawn_slow_server();
+        let mut connection = HttpConnection::open(address, Duration::from_secs(5)).await?;
+        let response =
+            connection.send(connection::build_request("GET", address, "/", Bytes::new())).await?;
+        connection::collect_body_with_idle_timeout(response.into_body(), 1_024, idle_timeout).await
     })
 }
 
-// A configuration of a megabyte takes seconds over a link that others use, too. Bounded as a whole, each
-// read of it would be broken off and begun again, and the entry would never have it.
+// Guards against a timeout of the whole body: a configuration of one megabyte takes seconds over a shared
+// link, and with such a timeout every read would be aborted and restarted.
 #[test]
-fn whole_steadily_waits_for_a_body_that_keeps_coming() {
-    let body = read_with_pauses_of(BETWEEN_PARTS * 4);
+fn collect_body_with_idle_timeout_accepts_slow_body() {
+    let body = read_with_idle_timeout(PART_INTERVAL * 4);
     assert_eq!(body.map(|body| body.len()), Ok(PARTS));
 }
 
 #[test]
-fn whole_steadily_gives_up_a_body_that_stops() {
-    assert_eq!(read_with_pauses_of(BETWEEN_PARTS / 10), Err(ConnectionError::TimedOut));
+fn collect_body_with_idle_timeout_rejects_stalled_body() {
+    assert_eq!(read_with_idle_timeout(PART_INTERVAL / 10), Err(ConnectionError::TimedOut));
 }
--- a/node/tests/direct/entry.rs
+++ b/node/tests/direct/entry.rs
@@ -10,38 +10,38 @@
 use mastichaven_standins::served::store::StoreFault;
 use serde_json::json;
 
-use super::fixture::PATIENCE;
 use super::fixture::Site;
+use super::fixture::WAIT_TIMEOUT;
 use super::fixture::is_within;
 use super::fixture::until;
 
-const STREAM: &str = "id: 0\ndata: 0\n\nid: 1\ndata: 1\n\nid: 2\ndata: 2\n\n\
+const EVENTS: &str = "id: 0\ndata: 0\n\nid: 1\ndata: 1\n\nid: 2\ndata: 2\n\n\
                       id: 3\ndata: 3\n\nid: 4\ndata: 4\n\nid: 5\ndata: 5\n\n";
 
-/// Time in which a configuration has to be in force on all entries.
-const CONFIG_WITHIN: Duration = Duration::from_secs(2);
+/// Time within which a configuration must be in force on all entries.
+const CONFIG_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A link that carries ten long configurations a second.
-const LONG_CONFIG_LEN: usize = 200_000;
+/// Size of a padded configuration and rate of a link that carries ten of them per second.
+const CONFIG_PADDING: usize = 200_000;
 const LINK_BYTES_PER_S: f64 = 2_000_000.0;
 
-/// Time after which an endpoint that has told that it leaves must get nothing new.
-const LEFT_WITHIN: Duration = Duration::from_secs(2);
+/// Time after which a draining endpoint must get no new requests.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A link on which the entry of one endpoint is under way for 3 s.
-const SLOW_ENTRY_LEN: usize = 300_000;
+/// Size of a padded endpoint record and rate of a link on which its transfer takes 3 s.
+const RECORD_PADDING: usize = 300_000;
 const SLOW_LINK_BYTES_PER_S: f64 = 100_000.0;
 
 #[test]
-fn ask_gets_whole_answers() {
+fn request_returns_complete_response() {
     let site = Site::start();
-    let writer = site.endpoint("i-w", "writer", Some(1));
-    let desk = site.endpoint("i-d", "desk", None);
-    let entry = site.entry("whole");
+    let writer = site.start_endpoint("i-w", "writer", Some(1));
+    let desk = site.start_endpoint("i-d", "desk", None);
+    let entry = site.start_entry("whole");
     until("endpoints known", || entry.dump()["endpoints"].as_array().map(Vec::len) == Some(2));
-    let stream = entry.ask("/stream/a", "s1", "key-1").unwrap();
-    assert_eq!((stream.status, stream.body.as_str()), (200, STREAM));
-    let booking = entry.ask("/booking/a?x=1", "b1", "key-2").unwrap();
+    let stream = entry.send_request("/stream/a", "s1", "key-1").unwrap();
+    assert_eq!((stream.status, stream.body.as_str()), (200, EVENTS));
+    let booking = entry.send_request("/booking/a?x=1", "b1", "key-2").unwrap();
     assert_eq!((booking.status, booking.body.as_str()), (200, "answer to b1 by i-d"));
     assert_eq!(booking.stamp.as_deref(), Some("stamp-of-i-d"));
     let run = &desk.runs()[0];
@@ -52,131 +52,133 @@
 }
 
 #[test]
-fn ask_refuses_unknown_routes_and_keys() {
+fn request_with_unknown_route_or_key_is_rejected() {
     let site = Site::start();
-    let desk = site.endpoint("i-d", "desk", None);
-    let entry = site.entry("unknown");
-    assert_eq!(entry.ask("/nowhere/", "a", "key-1").unwrap().status, 404);
-    assert_eq!(entry.ask("/lookup/a", "b", "no-key").unwrap().status, 401);
+    let desk = site.start_endpoint("i-d", "desk", None);
+    let entry = site.start_entry("unknown");
+    assert_eq!(entry.send_request("/nowhere/", "a", "key-1").unwrap().status, 404);
+    assert_eq!(entry.send_request("/lookup/a", "b", "no-key").unwrap().status, 401);
     assert!(desk.runs().is_empty());
 }
 
-// The operator takes a key away. Callers that hold it must be refused on every entry soon, and a
-// newer configuration never gives way to an older one.
+// The operator revokes a key. Every entry must soon refuse callers with that key, and an older configuration
+// must never replace a newer one.
 #[test]
-fn configure_takes_a_key_away() {
+fn config_update_revokes_key() {
     let site = Site::start();
-    let _desk = site.endpoint("i-d", "desk", None);
-    let entry = site.entry("revoked");
-    until("served", || entry.ask("/lookup/a", "a", "key-2").unwrap().status == 200);
+    let _desk = site.start_endpoint("i-d", "desk", None);
+    let entry = site.start_entry("revoked");
+    until("served", || entry.send_request("/lookup/a", "a", "key-2").unwrap().status == 200);
     site.configure(5, &["key-1"], true);
-    let is_refused = || entry.ask("/lookup/a", "b", "key-2").unwrap().status == 401;
+    let is_refused = || entry.send_request("/lookup/a", "b", "key-2").unwrap().status == 401;
     assert!(is_within(Duration::from_secs(2), is_refused));
     site.configure(3, &["key-1", "key-2"], true);
     thread::sleep(Duration::from_millis(300));
     assert!(is_refused());
-    assert_eq!(entry.ask("/lookup/a", "c", "key-1").unwrap().status, 200);
+    assert_eq!(entry.send_request("/lookup/a", "c", "key-1").unwrap().status, 200);
 }
 
-// An entry is cut off from the store. It cannot know whether a key was taken away, so after the bound
-// it must refuse, with a promise that nothing has run, and not be sent new callers.
+// An entry is cut off from the store and cannot know whether a key was revoked. After the revocation limit
+// it must refuse requests with a status that promises that they have not run, and fail its readiness check.
 #[test]
-fn ask_is_refused_without_fresh_configuration() {
+fn request_without_config_lease_is_refused() {
     let site = Site::start();
-    let desk = site.endpoint("i-d", "desk", None);
-    let entry = site.entry("stale");
-    until("served", || entry.ask("/lookup/a", "a", "key-1").unwrap().status == 200);
+    let desk = site.start_endpoint("i-d", "desk", None);
+    let entry = site.start_entry("stale");
+    until("served", || entry.send_request("/lookup/a", "a", "key-1").unwrap().status == 200);
     site.store.set_fault(StoreFault::Silent);
     thread::sleep(Duration::from_secs(5));
     assert!(!entry.is_ready());
     let before = desk.runs().len();
-    let refused = entry.ask("/lookup/a", "b", "key-1").unwrap();
+    let refused = entry.send_request("/lookup/a", "b", "key-1").unwrap();
     assert_eq!(refused.status, 503);
     assert!(refused.retry_after.is_some_and(|seconds| seconds > 0.0));
     assert_eq!(desk.runs().len(), before);
     site.store.set_fault(StoreFault::None);
-    until("served again", || entry.ask("/lookup/a", "c", "key-1").unwrap().status == 200);
+    until("served again", || entry.send_request("/lookup/a", "c", "key-1").unwrap().status == 200);
     assert!(entry.is_ready());
 }
 
-// The store forgets its history while endpoints come and go. An entry that only went on with its
-// watch would never hear of them.
+// The store compacts its history while endpoints come and go. An entry that only continued its watch would
+// miss these changes.
 #[test]
-fn watch_lists_again_after_the_history_is_gone() {
+fn watch_relists_after_compaction() {
     let site = Site::start();
-    let _first = site.endpoint("i-1", "desk", None);
-    let entry = site.entry("compacted");
+    let _first = site.start_endpoint("i-1", "desk", None);
+    let entry = site.start_entry("compacted");
     site.store.compact();
     site.store.delete("servers", "i-1");
-    let _second = site.endpoint("i-2", "desk", None);
+    let _second = site.start_endpoint("i-2", "desk", None);
     until("the second answers", || {
-        entry.ask("/lookup/a", "a", "key-1").is_ok_and(|answer| answer.body.ends_with("by i-2"))
+        entry
+            .send_request("/lookup/a", "a", "key-1")
+            .is_ok_and(|answer| answer.body.ends_with("by i-2"))
     });
 }
 
 #[test]
-fn list_goes_on_over_pages() {
+fn list_reads_all_pages() {
     let site = Site::start();
     site.store.set_page_len(2);
     let endpoints: Vec<_> =
-        (0..5).map(|n| site.endpoint(&format!("i-{n}"), "desk", None)).collect();
-    let entry = site.entry("pages");
+        (0..5).map(|n| site.start_endpoint(&format!("i-{n}"), "desk", None)).collect();
+    let entry = site.start_entry("pages");
     let count = endpoints.len();
     until("all are known", || entry.dump()["endpoints"].as_array().map(Vec::len) == Some(count));
 }
 
-// Entries of the list may be written by somebody else. One that cannot be read must not keep the
-// others from being used.
+// Other programs may write endpoint records. A malformed record must not keep the others from being used.
 #[test]
-fn watch_ignores_entries_that_cannot_be_read() {
+fn watch_skips_malformed_records() {
     let site = Site::start();
     site.store.put("servers", "i-0", json!({"service": 7, "address": "nowhere"}));
     site.store.put("servers", "i-1", json!("bytes"));
-    let _desk = site.endpoint("i-2", "desk", None);
-    let entry = site.entry("malformed");
-    until("served", || entry.ask("/lookup/a", "a", "key-1").unwrap().status == 200);
+    let _desk = site.start_endpoint("i-2", "desk", None);
+    let entry = site.start_entry("malformed");
+    until("served", || entry.send_request("/lookup/a", "a", "key-1").unwrap().status == 200);
 }
 
-// An endpoint is about to stop. New requests that still went there would be cut off.
+// An endpoint is about to stop. New requests sent to it would be cut off.
 #[test]
-fn watch_takes_a_draining_endpoint_out() {
+fn draining_endpoint_gets_no_requests() {
     let site = Site::start();
-    let leaving = site.endpoint("i-1", "desk", None);
-    let _other = site.endpoint("i-2", "desk", None);
-    let entry = site.entry("draining");
+    let leaving = site.start_endpoint("i-1", "desk", None);
+    let _other = site.start_endpoint("i-2", "desk", None);
+    let entry = site.start_entry("draining");
     until("both are known", || entry.dump()["endpoints"].as_array().map(Vec::len) == Some(2));
-    site.list("i-1", "desk", &leaving, "draining");
+    site.list_endpoint("i-1", "desk", &leaving, "draining");
     thread::sleep(Duration::from_secs(2));
     let before = leaving.runs().len();
     for n in 0..20 {
-        assert_eq!(entry.ask("/lookup/a", &format!("a{n}"), "key-1").unwrap().status, 200);
+        assert_eq!(entry.send_request("/lookup/a", &format!("a{n}"), "key-1").unwrap().status, 200);
     }
     assert_eq!(leaving.runs().len(), before);
 }
 
-// A whole zone is taken out of service and brought back.
+// An availability zone is evacuated and later restored.
 #[test]
-fn watch_takes_a_zone_out_and_back() {
+fn evacuated_zone_gets_no_requests_until_restored() {
     let site = Site::start();
-    let desk = site.endpoint("i-1", "desk", None);
-    let entry = site.entry("evacuated");
-    until("served", || entry.ask("/lookup/a", "a", "key-1").unwrap().status == 200);
+    let desk = site.start_endpoint("i-1", "desk", None);
+    let entry = site.start_entry("evacuated");
+    until("served", || entry.send_request("/lookup/a", "a", "key-1").unwrap().status == 200);
     site.store.put("evacuations", "zone-a", json!({}));
-    until("refused", || entry.ask("/lookup/a", "b", "key-1").unwrap().status == 503);
+    until("refused", || entry.send_request("/lookup/a", "b", "key-1").unwrap().status == 503);
     let before = desk.runs().len();
-    assert_eq!(entry.ask("/booking/a", "c", "key-1").unwrap().status, 503);
+    assert_eq!(entry.send_request("/booking/a", "c", "key-1").unwrap().status, 503);
     assert_eq!(desk.runs().len(), before);
     site.store.delete("evacuations", "zone-a");
-    until("served again", || entry.ask("/lookup/a", "d", "key-1").unwrap().status == 200);
+    until("served again", || entry.send_request("/lookup/a", "d", "key-1").unwrap().status == 200);
 }
 
-// A caller hangs up while its request runs. The endpoint would go on for nobody and lack the slot.
+// A caller disconnects while its request runs. Unless the entry cancels the request, it occupies a slot of
+// the endpoint to no use.
 #[test]
-fn caller_that_leaves_ends_its_run() {
+fn caller_disconnect_cancels_request() {
     let site = Site::start();
-    let writer = site.endpoint("i-w", "writer", Some(1));
-    let entry = site.entry("left");
-    until("served", || entry.ask("/stream/a", "a", "key-1").unwrap().status == 200);
+    let writer = site.start_endpoint("i-w", "writer", Some(1));
+    let entry = site.start_entry("left");
+    until("served", || entry.send_request("/stream/a", "a", "key-1").unwrap().status == 200);
     writer.set_fault(EndpointFault::Dark);
     let mut stream = TcpStream::connect(entry.callers).unwrap();
     let head = site::caller_head("/stream/a", "gone", "key-1", 0);
@@ -185,16 +187,16 @@
     let left = Instant::now();
     drop(stream);
     let is_ended = || writer.runs().iter().any(|run| run.id == "gone" && run.is_abandoned);
-    assert!(is_within(PATIENCE, is_ended));
+    assert!(is_within(WAIT_TIMEOUT, is_ended));
     assert!(left.elapsed() < Duration::from_millis(1_500), "{:?}", left.elapsed());
 }
 
-// A body that is longer than allowed would fill the memory of the entry.
+// Bodies over the limit would exhaust the entry's memory.
 #[test]
-fn ask_refuses_a_body_that_is_too_long() {
+fn request_with_oversized_body_is_rejected() {
     let site = Site::start();
-    let _desk = site.endpoint("i-d", "desk", None);
-    let entry = site.entry("long");
+    let _desk = site.start_endpoint("i-d", "desk", None);
+    let entry = site.start_entry("long");
     let mut stream = TcpStream::connect(entry.callers).unwrap();
     let head = site::caller_head("/booking/a", "long", "key-1", 70_000);
     stream.write_all(head.as_bytes()).unwrap();
@@ -203,56 +205,56 @@
     assert!(answer[..len].starts_with(b"HTTP/1.1 413"), "{:?}", String::from_utf8_lossy(&answer));
 }
 
-// After a restart an entry may read the list of endpoints before the configuration, which says how many
-// layers make a model. An endpoint with half of them would answer from partial weights, and engines
-// would pass for plain services, whose load nobody reports.
+// After a restart an entry may read the endpoint list before the configuration, which gives the number of
+// layers of a model. An endpoint with half of the layers would answer from partial weights, and engines
+// would be taken for plain services, which report no load.
 #[test]
-fn watch_reads_endpoints_with_the_configuration_in_mind() {
+fn endpoints_listed_before_config_are_checked_against_it() {
     let site = Site::start_unconfigured();
-    let writer = site.endpoint("i-w", "writer", Some(1));
+    let writer = site.start_endpoint("i-w", "writer", Some(1));
     site.store.put(site::ENDPOINTS, "i-w", writer.half_entry("writer", "zone-a"));
-    let entry = site.entry_unready("early");
+    let entry = site.spawn_entry("early");
     thread::sleep(Duration::from_millis(600));
     site.configure(1, &["key-1"], true);
     until("the entry is ready", || entry.is_ready());
-    assert_eq!(entry.ask("/stream/a", "a", "key-1").unwrap().status, 503);
+    assert_eq!(entry.send_request("/stream/a", "a", "key-1").unwrap().status, 503);
     assert!(writer.runs().is_empty());
-    site.list("i-w", "writer", &writer, "ready");
-    until("served", || entry.ask("/stream/a", "b", "key-1").unwrap().status == 200);
+    site.list_endpoint("i-w", "writer", &writer, "ready");
+    until("served", || entry.send_request("/stream/a", "b", "key-1").unwrap().status == 200);
 }
 
-// Large configurations come in quick succession, faster than the entry's link carries them. A watch tells
-// each version since the last one, so each answer holds more of them than the one before. Callers were
-// told that a route does not exist seconds after it was added. The log of an entry that the store had
-// turned away showed it: 2 s lay between two answers of its watch, and the version that it went by
-// meanwhile was already old when it came.
+// Large configurations are published faster than the entry's link transfers them. A watch returns every
+// version since the last one, so each response is larger than the one before. The lag reached 2 s between
+// two responses of a watch whose store had refused the entry, and callers got 404 for routes that had
+// been added seconds before.
 #[test]
-fn watch_catches_up_with_configurations_in_quick_succession() {
+fn watch_catches_up_with_frequent_config_updates() {
     let site = Site::start();
-    let entry = site.entry("storm");
+    let entry = site.start_entry("storm");
     site.store.set_link(LINK_BYTES_PER_S);
     let last = 80;
     for version in 2..=last {
-        site.configure_long(version, &["key-1"], LONG_CONFIG_LEN);
+        site.configure_padded(version, &["key-1"], CONFIG_PADDING);
         thread::sleep(Duration::from_millis(20));
     }
-    assert!(is_within(CONFIG_WITHIN, || entry.dump()["config"] == last));
+    assert!(is_within(CONFIG_TIMEOUT, || entry.dump()["config"] == last));
 }
 
-// An entry starts while its link is full, as when hundreds start at once, and its list of endpoints is
-// under way for seconds. One of them begins to leave meanwhile. The entry took the list for the present
-// state, and sent callers to the endpoint when it was about to stop. The cause is that a list counted from
-// when it came. This test proved it; that it happened among hundreds of entries is a guess.
+// An entry starts while its link is full, as when hundreds start at once, and the transfer of its endpoint
+// list takes seconds. An endpoint starts to drain meanwhile. The entry took the age of the list from its
+// arrival, used it as current, and sent callers to an endpoint that was about to stop. That this happened
+// among hundreds of entries is suspected, not confirmed.
 #[test]
-fn list_that_took_long_is_not_acted_on() {
+fn stale_endpoint_list_is_not_used() {
     let site = Site::start();
-    let endpoint = site.endpoint("i-d", "desk", None);
-    site.list_long("i-d", &endpoint, "ready", SLOW_ENTRY_LEN);
+    let endpoint = site.start_endpoint("i-d", "desk", None);
+    site.list_padded_endpoint("i-d", &endpoint, "ready", RECORD_PADDING);
     site.store.set_link(SLOW_LINK_BYTES_PER_S);
-    let entry = site.entry_unready("slow-link");
+    let entry = site.spawn_entry("slow-link");
     thread::sleep(Duration::from_millis(1_500));
-    site.list_long("i-d", &endpoint, "draining", SLOW_ENTRY_LEN);
-    thread::sleep(LEFT_WITHIN);
-    let is_sent = || entry.ask("/lookup/a", "a", "key-1").is_ok_and(|answer| answer.status == 200);
+    site.list_padded_endpoint("i-d", &endpoint, "draining", RECORD_PADDING);
+    thread::sleep(DRAIN_TIMEOUT);
+    let is_sent =
+        || entry.send_request("/lookup/a", "a", "key-1").is_ok_and(|answer| answer.status == 200);
     assert!(!is_within(Duration::from_secs(3), is_sent));
 }
--- a/node/tests/direct/explain.rs
+++ b/node/tests/direct/explain.rs
@@ -14,55 +14,55 @@
 "#;
 
 #[test]
-fn explain_orders_the_lines_and_names_the_cause() {
-    let explained = explain("a1", LOG.lines()).unwrap();
-    assert_eq!(explained.lines.len(), 2);
-    assert!(explained.lines[0].contains("attempt failed"));
+fn explain_sorts_lines_and_names_cause() {
+    let explanation = explain("a1", LOG.lines()).unwrap();
+    assert_eq!(explanation.lines.len(), 2);
+    assert!(explanation.lines[0].contains("attempt failed"));
     assert_eq!(
-        explained.cause,
+        explanation.cause,
         "Answered 502 by edge-1 after 40 ms: an endpoint took it and its answer was lost. It may \
          have run. Endpoint i-1 failed it at \"head\": broken."
     );
 }
 
 #[test]
-fn explain_tells_of_stale_configuration() {
+fn explain_reports_age_of_stale_config() {
     let cause = explain("b2", LOG.lines()).unwrap().cause;
     assert!(cause.contains("no fresh configuration (4702 ms old). It has not run."), "{cause}");
     assert!(explain("zz", LOG.lines()).is_none());
 }
 
 #[test]
-fn summarize_counts_by_reason() {
+fn summarize_counts_by_status_and_reason() {
     let counts = summarize(LOG.lines());
     assert_eq!(counts[&(503, "configuration too old".to_owned())], 2);
     assert_eq!(counts.len(), 2);
 }
 
-/// Words between the first pair of backquotes of each table row.
-fn documented(page: &str) -> Vec<&str> {
+/// Names in backquotes in the table rows of a page that begin with one.
+fn quoted_names(page: &str) -> Vec<&str> {
     page.lines()
         .filter(|line| line.starts_with("| `"))
         .flat_map(|l| l.split('`').skip(1).step_by(2))
         .collect()
 }
 
-/// The string literals that begin with the end of `call`.
-fn used_after(call: &str) -> Vec<String> {
-    used_by(call, |rest| rest.split('"').next().unwrap_or_default().to_owned())
+/// String literals whose opening quote is the last character of `call`.
+fn literals_opened_by(call: &str) -> Vec<String> {
+    scan_sources(call, |rest| rest.split('"').next().unwrap_or_default().to_owned())
 }
 
-/// The first string literal behind each `call`.
-fn used(call: &str) -> Vec<String> {
-    used_by(call, |rest| rest.split('"').nth(1).unwrap_or_default().to_owned())
+/// The first string literal after each `call`.
+fn first_literals_after(call: &str) -> Vec<String> {
+    scan_sources(call, |rest| rest.split('"').nth(1).unwrap_or_default().to_owned())
 }
 
-fn files_below(folder: &Path) -> Vec<PathBuf> {
+fn files_under(folder: &Path) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for file in std::fs::read_dir(folder).unwrap() {
         let path = file.unwrap().path();
         if path.is_dir() {
-            found.extend(files_below(&path));
+            found.extend(files_under(&path));
         } else {
             found.push(path);
         }
@@ -70,11 +70,11 @@
     found
 }
 
-/// What `read` takes from behind each `call` in the sources of the direct path.
-fn used_by(call: &str, read: impl Fn(&str) -> String) -> Vec<String> {
+/// Applies `read` to the text after each `call` in the sources of the direct path.
+fn scan_sources(call: &str, read: impl Fn(&str) -> String) -> Vec<String> {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/src/direct");
     let mut found = Vec::new();
-    for file in files_below(Path::new(folder)) {
+    for file in files_under(Path::new(folder)) {
         let text = std::fs::read_to_string(file).unwrap();
         found.extend(text.split(call).skip(1).map(&read));
     }
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn profile_lists_each_step_of_answered_requests() {
+fn profile_summarizes_each_step() {
     let line = |run_us: u32| {
         format!(
             "{{\"msg\":\"request steps\",\"id\":\"a\",\"read_us\":40,\"place_us\":0,\
@@ -92,33 +92,33 @@
     };
     let lines: Vec<String> = (1..=200).map(|n| line(n * 1_000)).collect();
     let steps = profile(lines.iter().map(String::as_str));
-    let connect = steps.iter().find(|one| one.step == "connect_us").unwrap();
+    let connect = steps.iter().find(|step| step.step == "connect_us").unwrap();
     assert_eq!((connect.p50_us, connect.p99_us, connect.mean_us), (900, 900, 900));
-    let run = steps.iter().find(|one| one.step == "run_us").unwrap();
+    let run = steps.iter().find(|step| step.step == "run_us").unwrap();
     assert_eq!((run.p50_us, run.p99_us, run.mean_us), (100_000, 198_000, 100_500));
 }
 
 #[test]
-fn profile_of_logs_without_answers_is_empty() {
+fn profile_without_step_lines_is_empty() {
     assert!(profile(LOG.lines()).is_empty());
 }
 
-// An operator who meets a line that no page explains is left alone with it.
+// An operator must find every log message in docs/LOGS.md.
 #[test]
-fn docs_name_every_log_line() {
-    let page = documented(include_str!("../../../docs/LOGS.md"));
+fn docs_list_every_log_message() {
+    let page = quoted_names(include_str!("../../../docs/LOGS.md"));
     for level in ["slog::info!(", "slog::warn!(", "slog::error!("] {
-        for msg in used(level) {
+        for msg in first_literals_after(level) {
             assert!(page.contains(&msg.as_str()), "docs/LOGS.md lacks {msg:?}");
         }
     }
 }
 
 #[test]
-fn docs_name_every_metric() {
-    let page = documented(include_str!("../../../docs/METRICS.md"));
+fn docs_list_every_metric() {
+    let page = quoted_names(include_str!("../../../docs/METRICS.md"));
     for call in ["metrics.count(\"", "metrics.add(\"", "metrics.time(\""] {
-        for part in used_after(call) {
+        for part in literals_opened_by(call) {
             let is_named = page
                 .iter()
                 .any(|name| name.trim_end_matches("_total").trim_end_matches("_ms") == part);
--- a/node/tests/direct/fixture.rs
+++ b/node/tests/direct/fixture.rs
@@ -1,4 +1,4 @@
-//! A small platform on loopback with the programs beside it.
+//! Starts stand-ins of the platform and the programs under test on loopback addresses.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -21,43 +21,45 @@
 use mastichaven_standins::served::store::ServedStore;
 use serde_json::Value;
 
-/// Longest wait for something that is sure to come, also on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Limit on the wait for a condition that holds eventually, with room for a busy machine.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-// Each program has an IP number of its own, so its ports may be fixed. They lie below the ports that the
-// kernel hands out: a port that is drawn and released stays in use while another thread's child,
-// which inherited the socket, has not yet run its program.
+// Each program has its own IP address, so its ports can be fixed. They are below the ephemeral range: an
+// ephemeral port that a test has bound and released stays in use while a child forked by another thread
+// has inherited the socket and not yet called exec.
 const AGENT_PORT: u16 = 20_000;
 const METRICS_PORT: u16 = 20_001;
 const CALLERS_PORT: u16 = 20_002;
 const READY_PORT: u16 = 20_003;
 
-/// Agents listen on one port, the same on all hosts, so each host has an IP number of its own.
+/// Number of the next host. Agents listen on the same port on all hosts, so each host has its own IP
+/// address.
 static NEXT_HOST: AtomicU16 = AtomicU16::new(1);
 
-const HOSTS_A_PROCESS: u16 = 1_000;
+const MAX_HOSTS: u16 = 1_000;
 
 static NEXT_FOLDER: AtomicU16 = AtomicU16::new(0);
 
-/// An unused IP number of the loopback network: two octets of the process, two of the host.
-fn new_ip() -> String {
+/// Allocates an unused loopback address. Its octets are derived from the process id and the number of
+/// the host.
+fn allocate_ip() -> String {
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
-    assert!(host < HOSTS_A_PROCESS, "more hosts than numbers");
+    assert!(host < MAX_HOSTS, "too many hosts in one test process");
     let process = std::process::id();
     let third = process / 200 % 50 * 5 + u32::from(host / 200);
     format!("127.{}.{third}.{}", process % 200 + 20, host % 200 + 1)
 }
 
-/// A temporary folder that no other program of this run uses, also one of the same name.
-fn new_folder(name: &str) -> PathBuf {
+/// Path of a temporary folder that is unique even among programs of the same name.
+fn temp_folder(name: &str) -> PathBuf {
     let number = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
     std::env::temp_dir().join(format!("mastichaven-{process}-{number}-{name}"))
 }
 
-/// A program that is killed when the test ends.
+/// A child process that is killed when dropped.
 pub struct Program {
     child: Child,
     folder: PathBuf,
@@ -65,7 +67,7 @@
 
 impl Program {
     fn start(binary: &str, name: &str, settings: &str) -> Program {
-        let folder = new_folder(name);
+        let folder = temp_folder(name);
         fs::create_dir_all(&folder).expect("a temporary folder");
         let file = folder.join("settings.toml");
         fs::write(&file, settings).expect("written");
@@ -79,7 +81,7 @@
         Program { child, folder }
     }
 
-    /// What it has logged so far.
+    /// Its log so far.
     pub fn log(&self) -> String {
         fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
@@ -91,7 +93,7 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Waits until it has ended and says whether it ended well.
+    /// Waits for its exit; true if it exited with success.
     pub fn wait(&mut self) -> bool {
         until("the program ends", || self.child.try_wait().expect("a child").is_some());
         self.child.wait().expect("a child").success()
@@ -109,19 +111,19 @@
     }
 }
 
-/// Waits until `is_so`, or fails.
-pub fn until(what: &str, is_so: impl FnMut() -> bool) {
-    assert!(is_within(PATIENCE, is_so), "in vain: {what}");
+/// Waits until `condition` holds; panics after [`WAIT_TIMEOUT`].
+pub fn until(what: &str, condition: impl FnMut() -> bool) {
+    assert!(is_within(WAIT_TIMEOUT, condition), "timed out waiting: {what}");
 }
 
-/// Whether `is_so` comes true in time.
-pub fn is_within(span: Duration, mut is_so: impl FnMut() -> bool) -> bool {
-    let end = Instant::now() + span;
-    while !is_so() {
+/// Whether `condition` holds within `timeout`.
+pub fn is_within(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
+    let end = Instant::now() + timeout;
+    while !condition() {
         if Instant::now() > end {
             return false;
         }
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
     true
 }
@@ -148,43 +150,49 @@
     }
 
     /// Writes a version of the configuration.
-    pub fn configure(&self, version: u64, keys: &[&str], resumes: bool) {
-        let spec = site::configuration(version, keys, resumes, self.origin.address());
+    pub fn configure(&self, version: u64, keys: &[&str], is_resumable: bool) {
+        let spec = site::configuration(version, keys, is_resumable, self.origin.address());
         self.store.put("config", "main", spec);
     }
 
-    /// Writes a version of the configuration that is `len` bytes longer than it needs to be.
-    pub fn configure_long(&self, version: u64, keys: &[&str], len: usize) {
+    /// Writes a version of the configuration with `padding` additional bytes.
+    pub fn configure_padded(&self, version: u64, keys: &[&str], padding: usize) {
         let mut spec = site::configuration(version, keys, true, self.origin.address());
-        spec["note"] = Value::String("n".repeat(len));
+        spec["note"] = Value::String("n".repeat(padding));
         self.store.put("config", "main", spec);
     }
 
-    /// Starts an endpoint and lists it.
-    pub fn endpoint(&self, id: &str, service: &str, version: Option<u64>) -> ServedEndpoint {
-        let ip = new_ip();
+    /// Starts an endpoint and lists it as ready.
+    pub fn start_endpoint(&self, id: &str, service: &str, version: Option<u64>) -> ServedEndpoint {
+        let ip = allocate_ip();
         let at = format!("{ip}:0");
         let endpoint = ServedEndpoint::start(&at, id, version).expect("the endpoint starts");
-        self.list(id, service, &endpoint, "ready");
+        self.list_endpoint(id, service, &endpoint, "ready");
         endpoint
     }
 
     /// Lists an endpoint as ready or draining.
-    pub fn list(&self, id: &str, service: &str, endpoint: &ServedEndpoint, state: &str) {
+    pub fn list_endpoint(&self, id: &str, service: &str, endpoint: &ServedEndpoint, state: &str) {
         self.store.put(site::ENDPOINTS, id, endpoint.entry(service, "zone-a", state));
     }
 
-    /// Lists an endpoint with an entry that is `len` bytes longer than it needs to be.
-    pub fn list_long(&self, id: &str, endpoint: &ServedEndpoint, state: &str, len: usize) {
+    /// Lists an endpoint in a record with `padding` additional bytes.
+    pub fn list_padded_endpoint(
+        &self,
+        id: &str,
+        endpoint: &ServedEndpoint,
+        state: &str,
+        padding: usize,
+    ) {
         let mut entry = endpoint.entry("desk", "zone-a", state);
-        entry["note"] = Value::String("n".repeat(len));
+        entry["note"] = Value::String("n".repeat(padding));
         self.store.put(site::ENDPOINTS, id, entry);
     }
 
-    fn settings(&self, name: &str, ip: &str, store: SocketAddr, own: &str) -> String {
+    fn settings(&self, name: &str, ip: &str, store: SocketAddr, role_settings: &str) -> String {
         format!(
             "host = \"{name}\"\nip = \"{ip}\"\nzone = \"zone-a\"\nstore = \"{}\"\n\
-             agent_port = {AGENT_PORT}\nmetrics_port = {METRICS_PORT}\n{own}\n\
+             agent_port = {AGENT_PORT}\nmetrics_port = {METRICS_PORT}\n{role_settings}\n\
              [regions]\nzone-a = \"region-a\"\n\
              [bounds]\nkey_revocation_ms = 5000\nweights_ms = 3000\nleave_ms = 2000\nstop_s = 8.0\n\
              repeat_ratio = 0.2\nrepeat_slack = 100.0\nrepeat_window_s = 10.0\n\
@@ -194,48 +202,49 @@
     }
 
     /// Starts an entry and waits until it is ready.
-    pub fn entry(&self, name: &str) -> Entry {
-        self.entry_at(name, self.store.address())
+    pub fn start_entry(&self, name: &str) -> Entry {
+        self.start_entry_with_store(name, self.store.address())
     }
 
-    /// Starts an entry that reaches the store at `store`, and waits until it is ready.
-    pub fn entry_at(&self, name: &str, store: SocketAddr) -> Entry {
-        let entry = self.start_entry(name, store, &[]);
+    /// Starts an entry with the store at `store`, and waits until it is ready.
+    pub fn start_entry_with_store(&self, name: &str, store: SocketAddr) -> Entry {
+        let entry = self.spawn_entry_with(name, store, &[]);
         until("the entry is ready", || entry.is_ready());
         entry
     }
 
-    /// Starts an entry.
-    pub fn entry_unready(&self, name: &str) -> Entry {
-        self.start_entry(name, self.store.address(), &[])
+    /// Starts an entry without waiting until it is ready.
+    pub fn spawn_entry(&self, name: &str) -> Entry {
+        self.spawn_entry_with(name, self.store.address(), &[])
     }
 
-    /// Starts an entry that reaches the store at `store` and may ask `seeds` first, and waits until it is ready.
-    pub fn entry_seeded(&self, name: &str, store: SocketAddr, seeds: &[&Entry]) -> Entry {
-        let entry = self.start_entry(name, store, seeds);
+    /// Starts an entry with the store at `store` and the given seeds, and waits until it is ready.
+    pub fn start_entry_with_seeds(&self, name: &str, store: SocketAddr, seeds: &[&Entry]) -> Entry {
+        let entry = self.spawn_entry_with(name, store, seeds);
         until("the entry is ready", || entry.is_ready());
         entry
     }
 
-    fn start_entry(&self, name: &str, store: SocketAddr, seeds: &[&Entry]) -> Entry {
-        let ip = new_ip();
+    fn spawn_entry_with(&self, name: &str, store: SocketAddr, seeds: &[&Entry]) -> Entry {
+        let ip = allocate_ip();
         let at = |port| SocketAddr::new(ip.parse().expect("an IP"), port);
         let (callers, ready) = (at(CALLERS_PORT), at(READY_PORT));
         let seeds: Vec<String> = seeds.iter().map(|seed| seed.callers.to_string()).collect();
-        let own = format!("callers = \"{callers}\"\nready = \"{ready}\"\nseeds = {seeds:?}");
+        let role_settings =
+            format!("callers = \"{callers}\"\nready = \"{ready}\"\nseeds = {seeds:?}");
         let binary = env!("CARGO_BIN_EXE_mastichaven-entry");
-        let settings = self.settings(name, &ip, store, &own);
+        let settings = self.settings(name, &ip, store, &role_settings);
         let program = Program::start(binary, name, &settings);
         Entry { program, callers, ready }
     }
 
-    /// Starts the agent of an endpoint.
-    pub fn agent(&self, name: &str, endpoint: &ServedEndpoint) -> Program {
+    /// Starts the agent on the host of `endpoint`.
+    pub fn start_agent(&self, name: &str, endpoint: &ServedEndpoint) -> Program {
         let ip = endpoint.address().ip().to_string();
-        let own = format!("endpoint = \"{}\"\nservice = \"writer\"", endpoint.address());
+        let role_settings = format!("endpoint = \"{}\"\nservice = \"writer\"", endpoint.address());
         let binary = env!("CARGO_BIN_EXE_mastichaven-agent");
         let store = self.store.address();
-        Program::start(binary, name, &self.settings(name, &ip, store, &own))
+        Program::start(binary, name, &self.settings(name, &ip, store, &role_settings))
     }
 }
 
@@ -246,9 +255,9 @@
     ready: SocketAddr,
 }
 
-/// An answer as a caller sees it.
+/// A response as received by a caller.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub body: String,
     pub retry_after: Option<f64>,
@@ -256,37 +265,42 @@
 }
 
 impl Entry {
-    /// Whether it tells the balancer that it is ready.
+    /// Whether its readiness check succeeds.
     pub fn is_ready(&self) -> bool {
-        let asked = minreq::get(format!("http://{}/ready", self.ready)).with_timeout(2).send();
-        asked.is_ok_and(|answer| answer.status_code == 200)
+        let response = minreq::get(format!("http://{}/ready", self.ready)).with_timeout(2).send();
+        response.is_ok_and(|response| response.status_code == 200)
     }
 
     /// Its state dump.
     pub fn dump(&self) -> Value {
-        let asked = minreq::get(format!("http://{}/dump", self.ready)).with_timeout(2).send();
-        let text = asked.expect("a dump").as_str().expect("text").to_owned();
+        let response = minreq::get(format!("http://{}/dump", self.ready)).with_timeout(2).send();
+        let text = response.expect("a dump").as_str().expect("text").to_owned();
         serde_json::from_str(&text).expect("JSON")
     }
 
-    /// Sends a request under `key`; `Err` when the answer broke off or none came.
-    pub fn ask(&self, path: &str, id: &str, key: &str) -> Result<Answer, ConnectionError> {
+    /// Sends a request with `key`; fails if there is no complete response.
+    pub fn send_request(
+        &self,
+        path: &str,
+        id: &str,
+        key: &str,
+    ) -> Result<Response, ConnectionError> {
         let method = if path.starts_with("/lookup/") { "GET" } else { "POST" };
         let mut req = connection::build_request(method, self.callers, path, "the body".into());
         for (name, value) in site::caller_headers(id, key) {
             req.headers_mut().insert(name, value.parse().expect("a valid value"));
         }
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let answer = runtime.expect("a runtime").block_on(async {
-            let mut link = HttpConnection::open(self.callers, PATIENCE).await?;
-            link.call(req, 1 << 20, PATIENCE).await
+        let response = runtime.expect("a runtime").block_on(async {
+            let mut connection = HttpConnection::open(self.callers, WAIT_TIMEOUT).await?;
+            connection.call(req, 1 << 20, WAIT_TIMEOUT).await
         })?;
-        let header = |name| answer.headers().get(name).and_then(|v| v.to_str().ok());
-        Ok(Answer {
-            status: answer.status().as_u16(),
+        let header = |name| response.headers().get(name).and_then(|v| v.to_str().ok());
+        Ok(Response {
+            status: response.status().as_u16(),
             retry_after: header("retry-after").and_then(|value| value.parse().ok()),
             stamp: header(site::STAMP).map(str::to_owned),
-            body: String::from_utf8_lossy(answer.body()).into_owned(),
+            body: String::from_utf8_lossy(response.body()).into_owned(),
         })
     }
 }
--- a/node/tests/direct/main.rs
+++ b/node/tests/direct/main.rs
@@ -1,4 +1,4 @@
-//! The programs on the direct path as processes of their own, against stand-ins of the platform.
+//! Tests of the direct path's programs, run as separate processes against stand-ins of the platform.
 
 mod agent;
 mod attempts;
--- a/node/tests/direct/replication.rs
+++ b/node/tests/direct/replication.rs
@@ -29,12 +29,12 @@
 impl Pair {
     fn start(name: &str) -> Pair {
         let site = Site::start();
-        let desk = site.endpoint("i-d", "desk", None);
-        let engine = site.endpoint("i-w", "writer", Some(1));
-        let agent = site.agent(&format!("{name}-agent"), &engine);
-        let parent = site.entry(&format!("{name}-parent"));
+        let desk = site.start_endpoint("i-d", "desk", None);
+        let engine = site.start_endpoint("i-w", "writer", Some(1));
+        let agent = site.start_agent(&format!("{name}-agent"), &engine);
+        let parent = site.start_entry(&format!("{name}-parent"));
         let at = site.store.address();
-        let follower = site.entry_seeded(&format!("{name}-follower"), at, &[&parent]);
+        let follower = site.start_entry_with_seeds(&format!("{name}-follower"), at, &[&parent]);
         let pair = Pair { site, _desk: desk, _engine: engine, _agent: agent, parent, follower };
         until("the second entry follows", || pair.follows());
         pair
@@ -45,7 +45,7 @@
     }
 
     fn takes_key(&self, key: &str) -> bool {
-        self.follower.ask("/lookup/a", "a", key).is_ok_and(|answer| answer.status == 200)
+        self.follower.send_request("/lookup/a", "a", key).is_ok_and(|answer| answer.status == 200)
     }
 }
 
@@ -113,10 +113,10 @@
 #[test]
 fn version_named_while_the_store_is_away_counts_from_its_return() {
     let site = Site::start();
-    let _engine = site.endpoint("i-w", "writer", Some(1));
-    let entry = site.entry("away");
+    let _engine = site.start_endpoint("i-w", "writer", Some(1));
+    let entry = site.start_entry("away");
     let is_served =
-        || entry.ask("/stream/a", "s", "key-1").is_ok_and(|answer| answer.status == 200);
+        || entry.send_request("/stream/a", "s", "key-1").is_ok_and(|answer| answer.status == 200);
     until("served", is_served);
     site.store.set_fault(StoreFault::Silent);
     site.store.put("versions", "m", serde_json::json!({"model": "m", "version": 2}));
@@ -132,16 +132,16 @@
 fn version_named_before_the_start_keeps_its_age() {
     let site = Site::start();
     site.origin.set_down(true);
-    let engine = site.endpoint("i-w", "writer", Some(1));
-    let _agent = site.agent("early-agent", &engine);
-    let parent = site.entry("early-parent");
+    let engine = site.start_endpoint("i-w", "writer", Some(1));
+    let _agent = site.start_agent("early-agent", &engine);
+    let parent = site.start_entry("early-parent");
     site.store.put("versions", "m", serde_json::json!({"model": "m", "version": 2}));
     let is_served = |entry: &Entry| {
-        entry.ask("/stream/a", "s", "key-1").is_ok_and(|answer| answer.status == 200)
+        entry.send_request("/stream/a", "s", "key-1").is_ok_and(|answer| answer.status == 200)
     };
     until("the version is known", || parent.dump()["weights"]["m"] == 2);
     until("the older one is barred", || !is_served(&parent));
-    let late = site.entry("early-late");
+    let late = site.start_entry("early-late");
     until("it follows", || late.dump()["follows"] == true);
     assert!(!is_served(&late));
 }
@@ -150,15 +150,15 @@
 #[test]
 fn entry_that_the_store_turns_away_follows_another() {
     let site = Site::start();
-    let _desk = site.endpoint("i-d", "desk", None);
-    let engine = site.endpoint("i-w", "writer", Some(1));
-    let _agent = site.agent("away-agent", &engine);
+    let _desk = site.start_endpoint("i-d", "desk", None);
+    let engine = site.start_endpoint("i-w", "writer", Some(1));
+    let _agent = site.start_agent("away-agent", &engine);
     let door = site.store.door().expect("the store has another address");
-    let parent = site.entry_at("away-parent", door.address());
-    let follower = site.entry_seeded("away-follower", site.store.address(), &[&parent]);
+    let parent = site.start_entry_with_store("away-parent", door.address());
+    let follower = site.start_entry_with_seeds("away-follower", site.store.address(), &[&parent]);
     until("the second entry follows", || follower.dump()["follows"] == true);
     door.set_closed(true);
-    let is_served = |key| parent.ask("/lookup/a", "a", key).is_ok_and(|a| a.status == 200);
+    let is_served = |key| parent.send_request("/lookup/a", "a", key).is_ok_and(|a| a.status == 200);
     assert!(!is_within(AWAY_FOR, || !is_served("key-1") || !parent.is_ready()));
     site.configure(5, &["key-1"], true);
     assert!(is_within(KEY_GONE_WITHIN, || !is_served("key-2")));
@@ -169,12 +169,14 @@
 #[test]
 fn entry_that_starts_learns_all_from_a_seed() {
     let site = Site::start();
-    let _desk = site.endpoint("i-d", "desk", None);
-    let seed = site.entry("seeded-first");
+    let _desk = site.start_endpoint("i-d", "desk", None);
+    let seed = site.start_entry("seeded-first");
     let door = site.store.door().expect("the store has another address");
     door.set_closed(true);
-    let second = site.entry_seeded("seeded-second", door.address(), &[&seed]);
-    assert!(second.ask("/lookup/a", "a", "key-1").is_ok_and(|answer| answer.status == 200));
+    let second = site.start_entry_with_seeds("seeded-second", door.address(), &[&seed]);
+    assert!(
+        second.send_request("/lookup/a", "a", "key-1").is_ok_and(|answer| answer.status == 200)
+    );
     assert_eq!(second.dump()["depth"], 1);
 }
 
@@ -182,9 +184,9 @@
 #[test]
 fn entry_that_starts_without_its_seeds_asks_the_store() {
     let site = Site::start();
-    let gone = site.entry("gone-first");
+    let gone = site.start_entry("gone-first");
     gone.program.signal("KILL");
-    let second = site.entry_seeded("gone-second", site.store.address(), &[&gone]);
+    let second = site.start_entry_with_seeds("gone-second", site.store.address(), &[&gone]);
     assert_eq!(second.dump()["follows"], false);
 }
 
@@ -192,8 +194,11 @@
 #[test]
 fn version_named_while_the_store_is_away_counts_from_its_return_for_a_follower() {
     let pair = Pair::start("outage");
-    let is_served =
-        || pair.follower.ask("/stream/a", "s", "key-1").is_ok_and(|answer| answer.status == 200);
+    let is_served = || {
+        pair.follower
+            .send_request("/stream/a", "s", "key-1")
+            .is_ok_and(|answer| answer.status == 200)
+    };
     until("served", is_served);
     // Its own watches of the store, from before it followed, end meanwhile.
     std::thread::sleep(Duration::from_secs(5));
@@ -212,11 +217,11 @@
 #[test]
 fn entries_without_seeds_settle_on_one_that_asks_the_store() {
     let site = Site::start();
-    let _desk = site.endpoint("i-d", "desk", None);
-    let engine = site.endpoint("i-w", "writer", Some(1));
-    let _agent = site.agent("settle-agent", &engine);
-    let first = site.entry("settle-first");
-    let second = site.entry("settle-second");
+    let _desk = site.start_endpoint("i-d", "desk", None);
+    let engine = site.start_endpoint("i-w", "writer", Some(1));
+    let _agent = site.start_agent("settle-agent", &engine);
+    let first = site.start_entry("settle-first");
+    let second = site.start_entry("settle-second");
     let follows = |entry: &Entry| entry.dump()["follows"] == true;
     until("one follows the other", || follows(&first) != follows(&second));
     std::thread::sleep(Duration::from_secs(4));
--- a/node/tests/direct/settings.rs
+++ b/node/tests/direct/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the direct path that must not start a process.
+//! Validation of the direct path's settings.
 
 use std::path::Path;
 
@@ -7,9 +7,9 @@
 
 use super::updates::SETTINGS;
 
-// Guards against a bound that is out of range and lets every entry find its knowledge too old.
+// A limit out of range would let every entry treat its state as stale.
 #[test]
-fn parse_refuses_bounds_out_of_range() {
+fn parse_rejects_limits_out_of_range() {
     let cases = [
         ("leave_ms = 2000", "leave_ms = 0"),
         ("leave_ms = 2000", "leave_ms = 90000"),
