--- a/node/src/direct/explain.rs
+++ b/node/src/direct/explain.rs
@@ -51,7 +51,8 @@
     for line in failed {
         let (endpoint, at) = (str_field(line, "endpoint"), str_field(line, "at"));
         let error = str_field(line, "error");
-        cause.push_str(&format!(" Endpoint {endpoint} failed it at \"{at}\": {error}."));
+        cause
+            .push_str(&format!(" The attempt at endpoint {endpoint} failed at \"{at}\": {error}."));
     }
     let lines = found.iter().map(|(_, line, _)| (*line).to_owned()).collect();
     Some(Explanation { lines, cause })
@@ -78,8 +79,8 @@
         "all endpoints full" => "every endpoint that may serve it was full".to_owned(),
         "no endpoint" => "no known endpoint may serve it".to_owned(),
         "declined by endpoints" => "each endpoint that it was sent to refused it".to_owned(),
-        "answer lost" => "an endpoint took it and its answer was lost".to_owned(),
-        "timed out" => "no answer came in time".to_owned(),
+        "answer lost" => "an endpoint accepted it and the response was lost".to_owned(),
+        "timed out" => "no response arrived in time".to_owned(),
         "answered" => format!("endpoint {} answered it", str_field(line, "endpoint")),
         other => other.to_owned(),
     };
--- a/node/src/direct/gateway.rs
+++ b/node/src/direct/gateway.rs
@@ -293,11 +293,11 @@
 
 /// Logs the time that a successful request spent in each step.
 fn log_request_steps(state: &State, head: &CallHead, history: &CallHistory) {
-    let us = |duration: Duration| u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
+    let micros = |duration: Duration| u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
     let steps = &history.steps;
     slog::info!(state.log, "request steps";
         "id" => head.id.as_deref().unwrap_or_default(),
-        "read_us" => us(steps.read), "place_us" => us(steps.place),
-        "connect_us" => us(steps.connect), "lost_us" => us(steps.lost),
-        "run_us" => us(steps.run));
+        "read_us" => micros(steps.read), "place_us" => micros(steps.place),
+        "connect_us" => micros(steps.connect), "lost_us" => micros(steps.lost),
+        "run_us" => micros(steps.run));
 }
--- a/node/tests/direct/explain.rs
+++ b/node/tests/direct/explain.rs
@@ -20,8 +20,8 @@
     assert!(explanation.lines[0].contains("attempt failed"));
     assert_eq!(
         explanation.cause,
-        "Answered 502 by edge-1 after 40 ms: an endpoint took it and its answer was lost. It may \
-         have run. Endpoint i-1 failed it at \"head\": broken."
+        "Answered 502 by edge-1 after 40 ms: an endpoint accepted it and the response was lost. It \
+         may have run. The attempt at endpoint i-1 failed at \"head\": broken."
     );
 }
 
