--- a/node/src/direct.rs
+++ b/node/src/direct.rs
@@ -1,11 +1,12 @@
-//! The direct path: entries that forward requests of callers to endpoints, and the agent that manages
-//! the weights of the endpoint on its host and reports its load.
+//! The direct path: entries that forward requests of callers to endpoints, and the agent that
+//! manages the weights of the endpoint on its host and reports its load.
 //!
-//! [`gateway`] admits a request and [`forward`] serves it: `selection` chooses an endpoint, `attempt`
-//! sends the request over a connection of [`pool`], and `stream` relays events to the caller through
-//! [`response_body`]. The state of an entry comes from the platform's store through [`watch`] or from
-//! another entry through [`replication`], is applied by `updates`, and is complemented by the agents'
-//! [`load_reports`]. The agent consists of [`agent`], [`swarm`] and [`staging`].
+//! [`gateway`] admits a request and [`forward`] serves it: `selection` chooses an endpoint,
+//! `attempt` sends the request over a connection of [`pool`], and `stream` relays events to the
+//! caller through [`response_body`]. The state of an entry comes from the platform's store through
+//! [`watch`] or from another entry through [`replication`], is applied by `updates`, and is
+//! complemented by the agents' [`load_reports`]. The agent consists of [`agent`], [`swarm`] and
+//! [`staging`].
 
 pub mod agent;
 mod attempt;
--- a/node/src/direct/attempt.rs
+++ b/node/src/direct/attempt.rs
@@ -32,8 +32,8 @@
 /// Largest body of a response that is not a stream, in bytes.
 pub(super) const MAX_RESPONSE_LEN: usize = 4 << 20;
 
-/// Timeout of connecting to an endpoint. A lost SYN is retransmitted after one second; by then another
-/// endpoint would have answered.
+/// Timeout of connecting to an endpoint. A lost SYN is retransmitted after one second; by then
+/// another endpoint would have answered.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Timeout of reading the body of a refusal or an error response after its head.
@@ -68,8 +68,8 @@
     Lost(ConnectionError),
 }
 
-/// Sends the request to `endpoint` and classifies the head of the response. `resume_after` is the id
-/// of the last event relayed when a stream is resumed.
+/// Sends the request to `endpoint` and classifies the head of the response. `resume_after` is the
+/// id of the last event relayed when a stream is resumed.
 pub(super) async fn send_to_endpoint(
     state: &Rc<State>,
     call: &Call,
@@ -203,8 +203,8 @@
     req
 }
 
-/// Records an attempt without a valid response in the endpoint table, the metrics and the log. `at` is
-/// the stage at which it failed.
+/// Records an attempt without a valid response in the endpoint table, the metrics and the log. `at`
+/// is the stage at which it failed.
 pub(super) fn record_failed_attempt(
     state: &State,
     call: &Call,
--- a/node/src/direct/call.rs
+++ b/node/src/direct/call.rs
@@ -55,8 +55,8 @@
     NoEndpoint,
     /// All endpoints are full. The request has not run.
     Full,
-    /// The endpoints with free places are cold, and their request rate is used up. The request has not
-    /// run.
+    /// The endpoints with free places are cold, and their request rate is used up. The request has
+    /// not run.
     Warming,
     /// Each endpoint tried refused the request or could not be reached. It has not run.
     Declined,
--- a/node/src/direct/connection.rs
+++ b/node/src/direct/connection.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 client connections to endpoints, the store and origins.
 //!
 //! When a middlebox between the two ends loses its state, a connection goes silent without a reset.
-//! TCP keepalive probes and a timeout of unacknowledged data make the kernel report such a connection
-//! as broken within [`UNRESPONSIVE_TIMEOUT`], so that waiting tasks get an error.
+//! TCP keepalive probes and a timeout of unacknowledged data make the kernel report such a
+//! connection as broken within [`UNRESPONSIVE_TIMEOUT`], so that waiting tasks get an error.
 
 use std::io;
 use std::net::SocketAddr;
@@ -24,8 +24,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Time after which a connection to an unresponsive peer is broken: one second to the first keepalive
-/// probe, then two probes at intervals of one second.
+/// Time after which a connection to an unresponsive peer is broken: one second to the first
+/// keepalive probe, then two probes at intervals of one second.
 pub const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(3);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_PROBES: u32 = 2;
@@ -59,8 +59,8 @@
     }
 }
 
-/// Sets the socket options of all connections on the direct path: no delay, keepalive probes and the
-/// timeout of unacknowledged data.
+/// Sets the socket options of all connections on the direct path: no delay, keepalive probes and
+/// the timeout of unacknowledged data.
 pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/node/src/direct/entry.rs
+++ b/node/src/direct/entry.rs
@@ -1,5 +1,5 @@
-//! The entry process of the direct path: startup, caller connections, the status server and graceful
-//! shutdown.
+//! The entry process of the direct path: startup, caller connections, the status server and
+//! graceful shutdown.
 
 use std::cell::Cell;
 use std::io;
@@ -43,8 +43,8 @@
 /// higher than the real number, so that the first shares are too small rather than too large.
 const INITIAL_ENTRY_COUNT: u32 = 16;
 
-/// Idle timeout of caller connections until the configuration sets one. Callers reuse a connection for
-/// up to four fifths of it.
+/// Idle timeout of caller connections until the configuration sets one. Callers reuse a connection
+/// for up to four fifths of it.
 const DEFAULT_CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Descriptors that a caller connection may need: its own, and one to an endpoint for its request.
@@ -52,8 +52,8 @@
 /// Descriptors that are not available for caller connections.
 const RESERVED_DESCRIPTORS: usize = 300;
 
-/// Time for which an entry keeps accepting callers after SIGTERM. The balancer checks readiness once a
-/// second and removes an entry after two failed checks.
+/// Time for which an entry keeps accepting callers after SIGTERM. The balancer checks readiness
+/// once a second and removes an entry after two failed checks.
 const DRAIN_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Time before SIGKILL at which the remaining caller connections are closed.
@@ -99,7 +99,8 @@
         .map_err(|e| io::Error::new(e.kind(), format!("{address}: {e}")))
 }
 
-/// Runs an entry until SIGTERM, then shuts it down gracefully within the stop timeout of the settings.
+/// Runs an entry until SIGTERM, then shuts it down gracefully within the stop timeout of the
+/// settings.
 pub async fn run(cfg: DirectSettings) -> Result<()> {
     let callers_address = cfg.callers.ok_or_else(|| missing_setting("callers"))?;
     let ready_address = cfg.ready.ok_or_else(|| missing_setting("ready"))?;
@@ -140,8 +141,8 @@
     let drain_started = state.now();
     slog::info!(state.log, "stopping"; "callers" => callers.0.get());
     sleep(DRAIN_DELAY).await;
-    // From now on connections are refused, and the balancer's last callers go to another entry. A long
-    // response accepted now might not end before SIGKILL.
+    // From now on connections are refused, and the balancer's last callers go to another entry. A
+    // long response accepted now might not end before SIGKILL.
     accept_task.abort();
     let _ = close_tx.send(true);
     let drain_timeout = state.cfg.bounds.stop().saturating_sub(SHUTDOWN_MARGIN);
@@ -202,8 +203,8 @@
         async move { Ok::<_, std::convert::Infallible>(gateway::handle_request(state, req).await) }
     });
     let mut builder = http1::Builder::new();
-    // hyper's timeout of a request head also covers the idle time before it, so the longer of the two
-    // limits applies.
+    // hyper's timeout of a request head also covers the idle time before it, so the longer of the
+    // two limits applies.
     let idle_timeout = limits
         .map_or(DEFAULT_CALLER_IDLE_TIMEOUT, |limits| limits.idle_timeout.max(limits.head_timeout));
     builder.timer(TokioTimer::new()).header_read_timeout(idle_timeout);
--- a/node/src/direct/pool.rs
+++ b/node/src/direct/pool.rs
@@ -11,8 +11,8 @@
 
 use super::connection::HttpConnection;
 
-/// Time for which an idle connection is reused if the endpoint announces no timeout. If a request is
-/// sent while the endpoint closes the connection, it is unknown whether it has run.
+/// Time for which an idle connection is reused if the endpoint announces no timeout. If a request
+/// is sent while the endpoint closes the connection, it is unknown whether it has run.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
 /// Time before the announced timeout of an endpoint at which its idle connections are no longer
--- a/node/src/direct/response_body.rs
+++ b/node/src/direct/response_body.rs
@@ -23,8 +23,8 @@
 
 impl std::error::Error for ResponseAborted {}
 
-/// Chunks of a stream buffered for a caller that reads slowly. A full buffer applies backpressure to
-/// the endpoint.
+/// Chunks of a stream buffered for a caller that reads slowly. A full buffer applies backpressure
+/// to the endpoint.
 pub const STREAM_CHANNEL_CAPACITY: usize = 8;
 
 /// Body of a response.
--- a/node/src/direct/selection.rs
+++ b/node/src/direct/selection.rs
@@ -15,12 +15,12 @@
 use super::call::Result;
 use super::state::State;
 
-/// Endpoints that a request is sent to at most, including those that refuse it or cannot be reached.
-/// More tries than this don't find an endpoint that accepts the request.
+/// Endpoints that a request is sent to at most, including those that refuse it or cannot be
+/// reached. More tries than this don't find an endpoint that accepts the request.
 const MAX_ENDPOINTS_TRIED: usize = 4;
 
-/// Longest wait for a free place, as a fraction of the route's latency objective. A caller gains more
-/// from an early refusal, after which it retries at another entry, than from a longer wait.
+/// Longest wait for a free place, as a fraction of the route's latency objective. A caller gains
+/// more from an early refusal, after which it retries at another entry, than from a longer wait.
 const MAX_WAIT_OBJECTIVES: f64 = 0.125;
 
 /// Time before the deadline from which on no retry is started, as it could hardly finish and would
--- a/node/src/direct/settings.rs
+++ b/node/src/direct/settings.rs
@@ -64,7 +64,8 @@
 pub struct Bounds {
     /// Milliseconds after which a revoked key must be rejected by every entry.
     pub key_revocation_ms: u64,
-    /// Milliseconds after the release of new weights from which on no request may start on older ones.
+    /// Milliseconds after the release of new weights from which on no request may start on older
+    /// ones.
     pub weights_ms: u64,
     /// Milliseconds after which a draining endpoint must receive no more requests.
     pub leave_ms: u64,
--- a/node/tests/direct/attempts.rs
+++ b/node/tests/direct/attempts.rs
@@ -31,8 +31,8 @@
     runs.filter(|run| run.id == id).count()
 }
 
-// An endpoint runs a booking and its response is lost. A retry by the entry would run the booking twice,
-// and so would a status that promises that it has not run, as the caller would then retry.
+// An endpoint runs a booking and its response is lost. A retry by the entry would run the booking
+// twice, and so would a status that promises that it has not run, as the caller would then retry.
 #[test]
 fn at_most_once_request_runs_once_after_lost_response() {
     let (_site, endpoints, entry) = start_pair("lost", "desk", EndpointFault::LostAnswer);
@@ -79,8 +79,8 @@
     }
 }
 
-// A response that echoes the id of another request must not reach the caller, and does not prove whether
-// the caller's own request has run.
+// A response that echoes the id of another request must not reach the caller, and does not prove
+// whether the caller's own request has run.
 #[test]
 fn response_with_foreign_id_is_not_relayed() {
     let (_site, endpoints, entry) = start_pair("wrong", "desk", EndpointFault::WrongId);
@@ -93,8 +93,8 @@
     }
 }
 
-// The address was reassigned to another endpoint, which refuses requests for the previous one. The entry
-// has to retry at the right endpoint.
+// The address was reassigned to another endpoint, which refuses requests for the previous one. The
+// entry has to retry at the right endpoint.
 #[test]
 fn misdirected_request_is_retried_elsewhere() {
     let (_site, endpoints, entry) = start_pair("misdirected", "desk", EndpointFault::Misdirected);
@@ -107,8 +107,8 @@
     assert!(endpoints[0].runs().is_empty());
 }
 
-// An endpoint crashes during a stream, even in the middle of an event. The caller must receive each event
-// once, the remaining ones from another endpoint.
+// An endpoint crashes during a stream, even in the middle of an event. The caller must receive each
+// event once, the remaining ones from another endpoint.
 #[test]
 fn interrupted_stream_resumes_at_another_endpoint() {
     let (_site, endpoints, entry) = start_pair("resumed", "writer", EndpointFault::CutAfter(3));
@@ -134,8 +134,8 @@
     assert!(entry.send_request("/stream/a", "b", "key-1").is_err());
 }
 
-// An endpoint stops responding without closing its connections. The entry has to retry the stream at
-// another endpoint before the caller gives up.
+// An endpoint stops responding without closing its connections. The entry has to retry the stream
+// at another endpoint before the caller gives up.
 #[test]
 fn stream_without_first_event_is_retried_elsewhere() {
     let (_site, _endpoints, entry) = start_pair("dark", "writer", EndpointFault::Dark);
--- a/node/tests/direct/connection.rs
+++ b/node/tests/direct/connection.rs
@@ -41,8 +41,8 @@
     })
 }
 
-// Guards against a timeout of the whole body: a configuration of one megabyte takes seconds over a shared
-// link, and with such a timeout every read would be aborted and restarted.
+// Guards against a timeout of the whole body: a configuration of one megabyte takes seconds over a
+// shared link, and with such a timeout every read would be aborted and restarted.
 #[test]
 fn collect_body_with_idle_timeout_accepts_slow_body() {
     let body = read_with_idle_timeout(PART_INTERVAL * 4);
--- a/node/tests/direct/entry.rs
+++ b/node/tests/direct/entry.rs
@@ -61,8 +61,8 @@
     assert!(desk.runs().is_empty());
 }
 
-// The operator revokes a key. Every entry must soon refuse callers with that key, and an older configuration
-// must never replace a newer one.
+// The operator revokes a key. Every entry must soon refuse callers with that key, and an older
+// configuration must never replace a newer one.
 #[test]
 fn config_update_revokes_key() {
     let site = Site::start();
@@ -78,8 +78,9 @@
     assert_eq!(entry.send_request("/lookup/a", "c", "key-1").unwrap().status, 200);
 }
 
-// An entry is cut off from the store and cannot know whether a key was revoked. After the revocation limit
-// it must refuse requests with a status that promises that they have not run, and fail its readiness check.
+// An entry is cut off from the store and cannot know whether a key was revoked. After the
+// revocation limit it must refuse requests with a status that promises that they have not run, and
+// fail its readiness check.
 #[test]
 fn request_without_config_lease_is_refused() {
     let site = Site::start();
@@ -99,8 +100,8 @@
     assert!(entry.is_ready());
 }
 
-// The store compacts its history while endpoints come and go. An entry that only continued its watch would
-// miss these changes.
+// The store compacts its history while endpoints come and go. An entry that only continued its
+// watch would miss these changes.
 #[test]
 fn watch_relists_after_compaction() {
     let site = Site::start();
@@ -127,7 +128,8 @@
     until("all are known", || entry.dump()["endpoints"].as_array().map(Vec::len) == Some(count));
 }
 
-// Other programs may write endpoint records. A malformed record must not keep the others from being used.
+// Other programs may write endpoint records. A malformed record must not keep the others from being
+// used.
 #[test]
 fn watch_skips_malformed_records() {
     let site = Site::start();
@@ -171,8 +173,8 @@
     until("served again", || entry.send_request("/lookup/a", "d", "key-1").unwrap().status == 200);
 }
 
-// A caller disconnects while its request runs. Unless the entry cancels the request, it occupies a slot of
-// the endpoint to no use.
+// A caller disconnects while its request runs. Unless the entry cancels the request, it occupies a
+// slot of the endpoint to no use.
 #[test]
 fn caller_disconnect_cancels_request() {
     let site = Site::start();
@@ -205,9 +207,9 @@
     assert!(answer[..len].starts_with(b"HTTP/1.1 413"), "{:?}", String::from_utf8_lossy(&answer));
 }
 
-// After a restart an entry may read the endpoint list before the configuration, which gives the number of
-// layers of a model. An endpoint with half of the layers would answer from partial weights, and engines
-// would be taken for plain services, which report no load.
+// After a restart an entry may read the endpoint list before the configuration, which gives the
+// number of layers of a model. An endpoint with half of the layers would answer from partial
+// weights, and engines would be taken for plain services, which report no load.
 #[test]
 fn endpoints_listed_before_config_are_checked_against_it() {
     let site = Site::start_unconfigured();
@@ -223,10 +225,10 @@
     until("served", || entry.send_request("/stream/a", "b", "key-1").unwrap().status == 200);
 }
 
-// Large configurations are published faster than the entry's link transfers them. A watch returns every
-// version since the last one, so each response is larger than the one before. The lag reached 2 s between
-// two responses of a watch whose store had refused the entry, and callers got 404 for routes that had
-// been added seconds before.
+// Large configurations are published faster than the entry's link transfers them. A watch returns
+// every version since the last one, so each response is larger than the one before. The lag reached
+// 2 s between two responses of a watch whose store had refused the entry, and callers got 404 for
+// routes that had been added seconds before.
 #[test]
 fn watch_catches_up_with_frequent_config_updates() {
     let site = Site::start();
@@ -240,10 +242,10 @@
     assert!(is_within(CONFIG_TIMEOUT, || entry.dump()["config"] == last));
 }
 
-// An entry starts while its link is full, as when hundreds start at once, and the transfer of its endpoint
-// list takes seconds. An endpoint starts to drain meanwhile. The entry took the age of the list from its
-// arrival, used it as current, and sent callers to an endpoint that was about to stop. That this happened
-// among hundreds of entries is suspected, not confirmed.
+// An entry starts while its link is full, as when hundreds start at once, and the transfer of its
+// endpoint list takes seconds. An endpoint starts to drain meanwhile. The entry took the age of the
+// list from its arrival, used it as current, and sent callers to an endpoint that was about to
+// stop. That this happened among hundreds of entries is suspected, not confirmed.
 #[test]
 fn stale_endpoint_list_is_not_used() {
     let site = Site::start();
--- a/node/tests/direct/fixture.rs
+++ b/node/tests/direct/fixture.rs
@@ -26,24 +26,24 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-// Each program has its own IP address, so its ports can be fixed. They are below the ephemeral range: an
-// ephemeral port that a test has bound and released stays in use while a child forked by another thread
-// has inherited the socket and not yet called exec.
+// Each program has its own IP address, so its ports can be fixed. They are below the ephemeral
+// range: an ephemeral port that a test has bound and released stays in use while a child forked by
+// another thread has inherited the socket and not yet called exec.
 const AGENT_PORT: u16 = 20_000;
 const METRICS_PORT: u16 = 20_001;
 const CALLERS_PORT: u16 = 20_002;
 const READY_PORT: u16 = 20_003;
 
-/// Number of the next host. Agents listen on the same port on all hosts, so each host has its own IP
-/// address.
+/// Number of the next host. Agents listen on the same port on all hosts, so each host has its own
+/// IP address.
 static NEXT_HOST: AtomicU16 = AtomicU16::new(1);
 
 const MAX_HOSTS: u16 = 1_000;
 
 static NEXT_FOLDER: AtomicU16 = AtomicU16::new(0);
 
-/// Allocates an unused loopback address. Its octets are derived from the process id and the number of
-/// the host.
+/// Allocates an unused loopback address. Its octets are derived from the process id and the number
+/// of the host.
 fn allocate_ip() -> String {
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
     assert!(host < MAX_HOSTS, "too many hosts in one test process");
--- a/node/tests/direct/main.rs
+++ b/node/tests/direct/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the direct path's programs, run as separate processes against stand-ins of the platform.
+//! Tests of the direct path's programs, run as separate processes against stand-ins of the
+//! platform.
 
 mod agent;
 mod attempts;
--- a/node/tests/direct/shutdown.rs
+++ b/node/tests/direct/shutdown.rs
@@ -10,8 +10,8 @@
 use super::fixture::Site;
 use super::fixture::until;
 
-// An entry is stopped under load. It must fail its readiness check at once, answer every request that it
-// has read, and exit before it is killed.
+// An entry is stopped under load. It must fail its readiness check at once, answer every request
+// that it has read, and exit before it is killed.
 #[test]
 fn shutdown_completes_requests_in_flight() {
     let site = Site::start();
@@ -25,8 +25,8 @@
             let mut n = 0;
             while is_sending.load(Ordering::Acquire) {
                 n += 1;
-                // Refused connections would be retried at another entry; requests that were read must be
-                // answered.
+                // Refused connections would be retried at another entry; requests that were read
+                // must be answered.
                 let result = entry.send_request("/stream/a", &format!("s{n}"), "key-1");
                 if matches!(result, Err(ConnectionError::Broken | ConnectionError::TimedOut)) {
                     broken_count += 1;
