--- a/node/src/direct/pool.rs
+++ b/node/src/direct/pool.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns a connection after a complete response, to be reused for `keep_alive`. It is closed
-    /// if the endpoint already has [`MAX_IDLE_PER_ENDPOINT`] or `keep_alive` is zero.
+    /// if the endpoint already has `MAX_IDLE_PER_ENDPOINT` or `keep_alive` is zero.
     pub fn put(
         &self,
         address: SocketAddr,
