--- a/node/src/direct/attempt.rs
+++ b/node/src/direct/attempt.rs
@@ -26,7 +26,7 @@
 use super::connection::ConnectionError;
 use super::connection::HttpConnection;
 use super::pool;
-use super::state::Place;
+use super::state::InFlightGuard;
 use super::state::State;
 
 /// Largest body of a response that is not a stream, in bytes.
@@ -52,7 +52,7 @@
 pub(super) struct EndpointResponse {
     pub(super) record: EndpointRecord,
     pub(super) connection: HttpConnection,
-    pub(super) place: Place,
+    pub(super) place: InFlightGuard,
     pub(super) response: Response<Incoming>,
 }
 
@@ -82,7 +82,7 @@
     };
     history.tried.push(endpoint);
     history.last_endpoint = Some(record.id.clone());
-    let place = Place::take(state, endpoint);
+    let place = InFlightGuard::acquire(state, endpoint);
     let pooled = state.pool.take(record.address, &record.id, state.now());
     let is_pooled = pooled.is_some();
     let mut connection = match pooled {
@@ -113,7 +113,7 @@
     let req = build_endpoint_request(state, call, &record, remaining, resume_after, now);
     history.sent_count += 1;
     if history.sent_count == 1 {
-        state.with_budget(&call.service, |budget| budget.record_first_attempt(now));
+        state.with_retry_budget(&call.service, |budget| budget.record_first_attempt(now));
     }
     let response_timeout = match call.route.retry_policy {
         RetryPolicy::Idempotent => call.route.objective.mul_f64(RESPONSE_TIMEOUT_OBJECTIVES),
@@ -185,7 +185,7 @@
     // holds.
     let version = call.head.model.as_deref().and_then(|model| {
         let newest = state.versions.borrow().get(model).map(Versions::newest)?;
-        (state.oldest_weights(model, now) == newest).then_some(newest)
+        (state.oldest_allowed_version(model, now) == newest).then_some(newest)
     });
     let resume_after = resume_after.or(call.head.resumes_after.as_deref());
     let addition = Addition {
--- a/node/src/direct/gateway.rs
+++ b/node/src/direct/gateway.rs
@@ -128,7 +128,7 @@
     req: Request<Incoming>,
     received_at: Time,
 ) -> Result<Call, Rejection> {
-    if !state.knows_all() {
+    if !state.is_synced() {
         return Err(Rejection::Starting);
     }
     if !state.freshness.borrow().is_valid(received_at) {
