--- a/node/src/callers.rs
+++ b/node/src/callers.rs
@@ -160,12 +160,12 @@
     Ok(response)
 }
 
-fn record_response(shared: &Shared, response: &Response<ResponseBody>, to_head: Duration) {
+fn record_response(shared: &Shared, response: &Response<ResponseBody>, time_to_head: Duration) {
     let header = |name: &str| response.headers().get(name)?.to_str().ok();
     let code = header(CODE_HEADER).and_then(|text| text.parse().ok()).and_then(Code::from_number);
     let outcome = header(OUTCOME_HEADER).and_then(Outcome::from_text);
     if let (Some(code), Some(outcome)) = (code, outcome) {
-        shared.telemetry.answered(code, outcome, to_head);
+        shared.telemetry.answered(code, outcome, time_to_head);
     }
 }
 
--- a/node/src/entry.rs
+++ b/node/src/entry.rs
@@ -247,11 +247,12 @@
         self.shared.transport.crash();
     }
 
-    /// Aborts the remaining requests once the stop deadline has passed, counted from `begun`.
-    /// Returns whether it has passed; false if no deadline is configured.
-    fn abort_after_deadline(&self, begun: Time) -> bool {
+    /// Aborts the remaining requests once the stop deadline has passed, counted from
+    /// `stop_started`. Returns whether it has passed; false if no deadline is configured.
+    fn abort_after_deadline(&self, stop_started: Time) -> bool {
         let deadline = self.shared.settings.stop_deadline_ms.map(Duration::from_millis);
-        let is_overdue = deadline.is_some_and(|span| self.shared.clock.now().passed(begun, span));
+        let is_overdue =
+            deadline.is_some_and(|span| self.shared.clock.now().passed(stop_started, span));
         if is_overdue && !self.shared.aborting.swap(true, Ordering::AcqRel) {
             let in_flight = self.shared.in_flight.load(Ordering::Acquire);
             warn!(self.shared.telemetry.log, "stop deadline"; "cut_off" => in_flight);
@@ -265,14 +266,15 @@
         self.shared.leaving.store(true, Ordering::Release);
         thread::sleep(Duration::from_millis(self.shared.settings.notice_ms));
         self.shared.stopping.store(true, Ordering::Release);
-        let begun = self.shared.clock.now();
-        while self.shared.in_flight.load(Ordering::Acquire) > 0 && !self.abort_after_deadline(begun)
+        let stop_started = self.shared.clock.now();
+        while self.shared.in_flight.load(Ordering::Acquire) > 0
+            && !self.abort_after_deadline(stop_started)
         {
             thread::sleep(STOP_POLL_INTERVAL);
         }
         self.shared.over.store(true, Ordering::Release);
         while !self.threads.iter().all(thread::JoinHandle::is_finished) {
-            self.abort_after_deadline(begun);
+            self.abort_after_deadline(stop_started);
             thread::sleep(STOP_POLL_INTERVAL);
         }
         for thread in self.threads {
--- a/node/src/entry/claims.rs
+++ b/node/src/entry/claims.rs
@@ -261,9 +261,7 @@
     loop {
         next = match next {
             Action::Dispatch => keyed.send().await,
-            Action::Respond(response) => {
-                return ClaimResult { result: Ok(response), not_run: false };
-            }
+            Action::Respond(full) => return ClaimResult { result: Ok(full), not_run: false },
             Action::Refuse(Code::Voided) if !keyed.machine.is_not_run() => {
                 keyed.reassign(Code::Voided).await
             }
--- a/node/src/entry/dispatch.rs
+++ b/node/src/entry/dispatch.rs
@@ -88,14 +88,14 @@
 ) -> Result<OpenResponse> {
     let limits = shared.documents.in_force().config.limits.clone();
     // A stream that has begun is limited by the pauses between frames, not by its total time.
-    let left = match resume_after {
+    let remaining = match resume_after {
         0 => parsed.deadline.since(shared.clock.now()),
         _ => Duration::from_millis(limits.first_byte_ms),
     };
-    if left.is_zero() {
+    if remaining.is_zero() {
         return Err(Code::DeadlineBeforeRun.into());
     }
-    let mut run = run_request(parsed, &permit.to, attempt, resume_after, left);
+    let mut run = run_request(parsed, &permit.to, attempt, resume_after, remaining);
     run.exclusive = match shared.quarantine.policy(shared, parsed) {
         RunPolicy::Shared => false,
         RunPolicy::Exclusive => true,
@@ -104,7 +104,7 @@
     let (request_digest, exclusive) = (parsed.digest(), run.exclusive);
     let frame_timeout = Duration::from_millis(limits.between_bytes_ms) + AGENT_TIMEOUT_MARGIN;
     let first_byte = Duration::from_millis(limits.first_byte_ms) + AGENT_TIMEOUT_MARGIN;
-    let head_timeout = if parsed.idempotent { left.min(first_byte) } else { left };
+    let head_timeout = if parsed.idempotent { remaining.min(first_byte) } else { remaining };
     shared.telemetry.count(Counter::AttemptsSent);
     parsed.unresolved.add();
     let call = shared.transport.call(permit.to.address, &shared.ask(AskBody::Run(run)));
@@ -134,7 +134,7 @@
     to: &Dispatch,
     attempt: Attempt,
     resume_after: u64,
-    left: Duration,
+    remaining: Duration,
 ) -> RunRequest {
     RunRequest {
         request: to.request,
@@ -145,7 +145,7 @@
         incarnation: Some(to.incarnation),
         work: parsed.work,
         priority: parsed.priority,
-        deadline_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
+        deadline_ms: u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX),
         idempotent: parsed.idempotent,
         exclusive: false,
         keep_response: !parsed.idempotent,
--- a/node/src/entry/planner.rs
+++ b/node/src/entry/planner.rs
@@ -90,7 +90,7 @@
         let now = self.shared.clock.now();
         let is_held = self.lease.token().is_some();
         if is_held && self.lease_held_since.is_none() {
-            info!(self.shared.telemetry.log, "this entry is the planner");
+            info!(self.shared.telemetry.log, "acquired the planner lease");
         }
         self.lease_held_since = is_held.then(|| self.lease_held_since.unwrap_or(now));
     }
--- a/node/src/entry/requests.rs
+++ b/node/src/entry/requests.rs
@@ -120,7 +120,7 @@
     // result.
     let _wait_guard = parsed.caller.wait_guard();
     let shared = shared.clone();
-    let left = parsed.deadline.since(shared.clock.now()) + DEADLINE_MARGIN;
+    let remaining = parsed.deadline.since(shared.clock.now()) + DEADLINE_MARGIN;
     let task = tokio::spawn(async move {
         let result = run_non_idempotent(&shared, &parsed).await;
         drop(guard);
@@ -128,7 +128,7 @@
     });
     // A platform or agent that hangs must not delay the caller past its deadline. The task goes on,
     // so that a retry finds the result of this request.
-    let ended = timeout(left, task).await.map_err(|_| Code::DeadlineDuringRun)?;
+    let ended = timeout(remaining, task).await.map_err(|_| Code::DeadlineDuringRun)?;
     let full = ended.unwrap_or(Err(Code::EndpointLost.into()))?;
     Ok(response::full(full)?)
 }
--- a/node/src/entry/router.rs
+++ b/node/src/entry/router.rs
@@ -287,8 +287,8 @@
         Acquisition::Immediate(to) => return Ok(new_permit(shared, key, &parsed.customer, to)),
         Acquisition::Queued(rx) => rx,
     };
-    let left = parsed.deadline.since(shared.clock.now());
-    match tokio::time::timeout(left, rx).await {
+    let remaining = parsed.deadline.since(shared.clock.now());
+    match tokio::time::timeout(remaining, rx).await {
         Ok(Ok(granted)) => Ok(granted?),
         Ok(Err(_)) => {
             Err(Rejection { code: Code::Shed, retry_after: expected_wait(shared, parsed) })
@@ -411,9 +411,9 @@
         deadline: parsed.deadline,
     };
     let weight = in_force.config.customer.get(&parsed.customer).map_or(1, |c| c.weight);
-    let max_len = usize::try_from(in_force.config.limits.queue_len).unwrap_or(usize::MAX);
+    let max = usize::try_from(in_force.config.limits.queue_len).unwrap_or(usize::MAX);
     // A request that is shed is notified by the drop of its sender.
-    drop(backend.queue.push(queued, weight, is_retry, max_len));
+    drop(backend.queue.push(queued, weight, is_retry, max));
     if !std::mem::replace(&mut backend.is_polled, true) {
         tokio::spawn(poll_queue(shared.clone(), key.clone()));
     }
