--- a/bench/src/weights.rs
+++ b/bench/src/weights.rs
@@ -31,7 +31,7 @@
 use mastichaven_node::weights::PeerAddress;
 use mastichaven_node::weights::Setup;
 use mastichaven_node::weights::Store;
-use mastichaven_node::weights::Wanted;
+use mastichaven_node::weights::WantedVersions;
 use mastichaven_node::weights::Weights;
 use mastichaven_standins::Origin;
 use mastichaven_standins::Platform;
@@ -246,8 +246,8 @@
     let transport = Transport::start(address, &material, tx).map_err(|e| e.to_string())?;
     let from = Sender { host: place.host.clone(), ..Sender::default() };
     let weights = Weights::start(Setup {
-        me: place.clone(),
-        way,
+        location: place.clone(),
+        strategy: way,
         origin_region: Some("region-0".into()),
         transport: transport.clone(),
         store: Arc::new(Store::in_memory(STORE_LEN)),
@@ -276,7 +276,10 @@
     let peers: Vec<PeerAddress> = run
         .hosts
         .iter()
-        .map(|host| PeerAddress { place: host.place.clone(), address: host.transport.local_addr() })
+        .map(|host| PeerAddress {
+            location: host.place.clone(),
+            address: host.transport.local_addr(),
+        })
         .collect();
     for host in &run.hosts {
         host.weights.set_peers(peers.clone());
@@ -289,7 +292,7 @@
         Before { crossed: run.net.crossed(), sent: run.origin.sent_to(), counts: counts_of(&run) };
     let started = Instant::now();
     for host in &run.hosts {
-        host.weights.want(Wanted { versions: vec![version], origin_copies });
+        host.weights.set_wanted(WantedVersions { versions: vec![version], origin_copies });
     }
     let mut schedule = Faults::new(faults, count, lower_bound);
     let mut reached = Reached::default();
@@ -318,7 +321,7 @@
     let origin_copies =
         if way == Strategy::Origin { run.hosts.len() as f64 } else { WARM_UP_COPIES };
     for host in &run.hosts {
-        host.weights.want(Wanted { versions: vec![version], origin_copies });
+        host.weights.set_wanted(WantedVersions { versions: vec![version], origin_copies });
     }
     let started = Instant::now();
     while started.elapsed() < WARM_UP_LIMIT && complete(run, version, &[]) < run.hosts.len() {
--- a/bench/src/weights/net.rs
+++ b/bench/src/weights/net.rs
@@ -172,7 +172,7 @@
         Some(end)
     }
 
-    fn passes(&self, to: &HostName, len: usize) -> bool {
+    fn delivers(&self, to: &HostName, len: usize) -> bool {
         let Some(to) = self.net.names.get(to).copied() else {
             return false;
         };
@@ -182,7 +182,7 @@
         !state.loses(self.me, to)
     }
 
-    fn carry(&self, bytes: Bytes) -> Bytes {
+    fn transmit(&self, bytes: Bytes) -> Bytes {
         let mut state = self.net.lock();
         let share = state.corrupt_share;
         if share == 0.0 || !state.rng.random_bool(share) {
@@ -193,5 +193,5 @@
         damaged.into()
     }
 
-    fn set_beside_requests(&self, _: bool) {}
+    fn set_link_shared(&self, _: bool) {}
 }
--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -323,15 +323,15 @@
     incarnation: Incarnation,
 ) -> Weights {
     let place = &settings.place;
-    let me = PeerLocation {
+    let location = PeerLocation {
         host: place.host.clone(),
         zone: place.zone.clone(),
         region: place.region.clone(),
     };
     let from = Sender { host: place.host.clone(), incarnation, generation: Default::default() };
     Weights::start(Setup {
-        me,
-        way: Strategy::Swarm,
+        location,
+        strategy: Strategy::Swarm,
         origin_region: settings.origin_region.clone(),
         transport: transport.clone(),
         store: store.clone(),
@@ -424,7 +424,7 @@
                 "asks": progress.counts.requests,
                 "corrupt": progress.counts.corrupt,
                 "failed": progress.counts.failed,
-                "troubled_neighbours": progress.troubled,
+                "troubled_neighbours": progress.degraded_neighbours,
                 "last_error": progress.last_error.map(|code| code.number()),
             },
             "counts": self.telemetry.counts(),
@@ -433,7 +433,7 @@
     }
 
     fn weights(&self, manifest: Digest) -> Option<WholeBody> {
-        let whole = self.store.read(manifest)?;
+        let whole = self.store.reader(manifest)?;
         Some(WholeBody { len: whole.len(), reader: Box::new(whole) })
     }
 
--- a/node/src/agent/engine_watch.rs
+++ b/node/src/agent/engine_watch.rs
@@ -133,7 +133,7 @@
             return;
         };
         let (version, fence, ordered) = drained.order();
-        let reads_before = shared.store.whole_reads(version);
+        let reads_before = shared.store.complete_reads(version);
         let result = self.send_load(model, version, fence);
         let reported = self.reported();
         let confirmed = ordered.confirm(reported);
@@ -163,7 +163,7 @@
     /// engine may answer before the thread that sends them has noticed that it sent the last byte.
     fn was_read_whole(&self, version: Digest, before: u64) -> bool {
         let begun = Instant::now();
-        while self.shared.store.whole_reads(version) == before {
+        while self.shared.store.complete_reads(version) == before {
             if begun.elapsed() > READ_GRACE || self.shared.is_over() {
                 return false;
             }
--- a/node/src/agent/pull.rs
+++ b/node/src/agent/pull.rs
@@ -25,7 +25,7 @@
 use super::Shared;
 use super::TICK;
 use crate::weights::PeerAddress;
-use crate::weights::Wanted;
+use crate::weights::WantedVersions;
 
 /// How long a fresh agent waits until it knows at least half of the plan's hosts. Members come to
 /// be known one after the other: an agent that starts with few of them would hold itself
@@ -94,17 +94,17 @@
     let mut versions: Vec<Digest> = plan.versions().collect();
     versions.extend(loaded(shared).filter(|version| !versions.contains(version)));
     let origin_copies = shared.documents.in_force().config.limits.origin_copies;
-    shared.weights.want(Wanted { versions, origin_copies });
-    shared.weights.set_beside_requests(shared.running.load(Ordering::Acquire) > 0);
+    shared.weights.set_wanted(WantedVersions { versions, origin_copies });
+    shared.weights.set_link_shared(shared.running.load(Ordering::Acquire) > 0);
 }
 
 fn peer_of(listed: &ListedHost) -> PeerAddress {
-    let place = PeerLocation {
+    let location = PeerLocation {
         host: listed.name.clone(),
         zone: listed.zone.clone(),
         region: listed.region.clone(),
     };
-    PeerAddress { place, address: listed.address }
+    PeerAddress { location, address: listed.address }
 }
 
 /// The place of a member; a pull does not need more of it.
--- a/node/src/origin.rs
+++ b/node/src/origin.rs
@@ -1,7 +1,7 @@
-//! The origin of weights over HTTP: the one file that knows its paths.
+//! HTTP client of the origin of weights. Only this module uses the paths of its interface.
 //!
-//! `GET /manifests/DIGEST` and `GET /chunks/DIGEST` answer the bytes, 404 when they are not
-//! there, 429 while the rate is limited.
+//! `GET /manifests/DIGEST` and `GET /chunks/DIGEST` return the bytes, 404 if the origin does not
+//! have them, or 429 if the rate limit is exceeded.
 
 use bytes::Bytes;
 use mastichaven_core::Code;
@@ -12,34 +12,34 @@
 use crate::fetch::FetchError;
 use crate::fetch::fetch;
 
-/// Result of a call to the origin.
+/// Result of a request to the origin.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// Seconds one object may take.
-const TIMEOUT_SECONDS: u64 = 30;
+/// Timeout of the request for one object.
+const REQUEST_TIMEOUT_SECONDS: u64 = 30;
 
-/// Bytes of a manifest or a chunk at most: peers pass both on as one message.
+/// Maximum size of a manifest or chunk in bytes, because peers send each as one message.
 const MAX_OBJECT_LEN: usize = wire::MAX_MESSAGE_LEN;
 
-/// The origin at an address.
+/// Client of the origin at one base URL.
 #[derive(Clone, Debug)]
 pub struct Origin {
     base: String,
 }
 
 impl Origin {
-    /// The origin at `base`, such as `http://127.0.0.1:7100`.
+    /// Creates a client for the origin at the URL `base`, such as `http://127.0.0.1:7100`.
     pub fn new(base: impl Into<String>) -> Origin {
         Origin { base: base.into() }
     }
 
-    /// Reads a manifest and checks it.
+    /// Fetches a manifest and checks it against its digest.
     pub fn manifest(&self, digest: Digest) -> Result<Manifest> {
         let bytes = self.get("manifests", digest)?;
         Manifest::decode(&bytes, digest)
     }
 
-    /// Reads a chunk and checks it.
+    /// Fetches a chunk. Fails with [`Code::CorruptChunk`] if it does not match its digest.
     pub fn chunk(&self, digest: Digest) -> Result<Bytes> {
         let bytes = self.get("chunks", digest)?;
         if Digest::of(&bytes) == digest { Ok(bytes) } else { Err(Code::CorruptChunk) }
@@ -47,9 +47,9 @@
 
     fn get(&self, kind: &str, digest: Digest) -> Result<Bytes> {
         let request = minreq::get(format!("{}/{kind}/{}", self.base, digest.to_hex()))
-            .with_timeout(TIMEOUT_SECONDS);
+            .with_timeout(REQUEST_TIMEOUT_SECONDS);
         let fetched = fetch(request, MAX_OBJECT_LEN).map_err(|e| match e {
-            // No byte left the origin: a paid pull may be tried again for free.
+            // No byte left the origin, so a retry is not charged to the origin budget again.
             FetchError::Refused => Code::Unreachable,
             FetchError::Broken | FetchError::TooLong => Code::PeerLost,
         })?;
--- a/node/src/weights.rs
+++ b/node/src/weights.rs
@@ -1,10 +1,10 @@
-//! Weights on one host: the bounded store, the link, and the threads that pull and serve chunks.
+//! Weights on one host: the store, the rate limit, and the threads that pull and serve chunks.
 //!
-//! | thread | duty | file |
+//! | thread | task | file |
 //! | --- | --- | --- |
-//! | `weights-pull` | carries out what `core::swarm` decides, over QUIC | `weights/pull.rs` |
-//! | `weights-origin` | takes chunks from the origin, after paying from the budget | `weights/fetch.rs` |
-//! | `weights-serve` | answers peers, as fast as the link may | `weights/serve.rs` |
+//! | `weights-pull` | sends the requests of `core::swarm` over QUIC | `weights/pull.rs` |
+//! | `weights-origin` | pulls chunks from the origin within the budget | `weights/fetch.rs` |
+//! | `weights-serve` | answers the requests of peers at the rate of the link | `weights/serve.rs` |
 
 pub mod budget;
 mod fetch;
@@ -36,91 +36,91 @@
 use crate::transport::Incoming;
 use crate::transport::Transport;
 
-/// Asks from peers waiting for the serving thread; more are refused as busy.
-const SERVE_RING: usize = 1_024;
+/// Maximum number of peer requests queued for the `weights-serve` thread; more are refused as busy.
+const SERVE_QUEUE_LEN: usize = 1_024;
 
-/// Reports waiting for the pulling thread; reporters block while it is full.
-const EVENT_RING: usize = 1_024;
+/// Maximum number of events queued for the `weights-pull` thread; senders block while it is full.
+const EVENT_QUEUE_LEN: usize = 1_024;
 
-/// A host that takes part and where it is reached.
+/// A host that exchanges weights with this one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerAddress {
-    /// Who and where it is.
-    pub place: PeerLocation,
-    /// Where peers reach it.
+    /// Name, zone and region of the host.
+    pub location: PeerLocation,
+    /// Address of its transport.
     pub address: SocketAddr,
 }
 
-/// What the threads need.
+/// Configuration and dependencies of the weight threads.
 pub struct Setup {
-    /// This host.
-    pub me: PeerLocation,
-    /// How versions travel.
-    pub way: Strategy,
-    /// The region the origin stands in, if it stands in one.
+    /// Name, zone and region of this host.
+    pub location: PeerLocation,
+    /// How versions are distributed among the hosts.
+    pub strategy: Strategy,
+    /// The region of the origin; `None` if it is in none of the regions.
     pub origin_region: Option<RegionName>,
-    /// The way to peers.
+    /// Connections to peers.
     pub transport: Transport,
-    /// Where chunks are kept.
+    /// The chunks that this host holds.
     pub store: Arc<Store>,
-    /// The origin.
+    /// Client of the origin.
     pub origin: Origin,
-    /// Where the origin budget is kept.
+    /// Stores the origin budget.
     pub platform: Arc<dyn ObjectStore>,
-    /// This host's link.
+    /// The outgoing link of this host.
     pub link: Arc<dyn Link>,
-    /// The clock of this process.
+    /// Clock of the process, shared with its other threads.
     pub clock: Clock,
-    /// Counts what comes from where.
+    /// Counts chunks and bytes by source.
     pub telemetry: Telemetry,
-    /// What asks say of this process.
+    /// Returns the current sender of requests to peers.
     pub sender: Arc<dyn Fn() -> Sender + Send + Sync>,
 }
 
-/// The versions that a host is to have, and the budget they may cost at the origin.
+/// The versions that a host must store, and the origin budget of each.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Wanted {
-    /// Digests of their manifests.
+pub struct WantedVersions {
+    /// Manifest digests of the versions.
     pub versions: Vec<Digest>,
-    /// Copies of each that may leave the origin at most, for the whole fleet.
+    /// Maximum number of copies of each version that leave the origin, over the whole fleet.
     pub origin_copies: f64,
 }
 
-/// What is known of the pulling, for the state dump.
+/// Progress of the downloads, for the state dump.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// Chunks missing of all wanted versions.
+    /// Number of missing chunks of all wanted versions.
     pub missing: usize,
-    /// What was asked.
+    /// Counters of requests to peers and to the origin.
     pub counts: Counts,
-    /// Neighbours that are down or demoted.
-    pub troubled: Vec<String>,
-    /// The last numbered error, such as a full store or a spent budget.
+    /// Names of the neighbours that are down or demoted.
+    pub degraded_neighbours: Vec<String>,
+    /// The last error, such as a full store or an exhausted budget.
     pub last_error: Option<Code>,
 }
 
-/// The running weight threads of a host. Dropping it ends them.
+/// The running weight threads of a host. They end when it is dropped.
 pub struct Weights {
     store: Arc<Store>,
     pull: flume::Sender<pull::Event>,
     serve: flume::Sender<serve::Event>,
     progress: Arc<Mutex<Progress>>,
-    wanted: Mutex<Wanted>,
+    wanted: Mutex<WantedVersions>,
     peers: Mutex<Vec<PeerAddress>>,
 }
 
 impl Weights {
-    /// Starts the threads.
+    /// Starts the threads, without peers or wanted versions.
     pub fn start(setup: Setup) -> Weights {
-        let (pull_tx, pull_rx) = flume::bounded(EVENT_RING);
-        let (serve_tx, serve_rx) = flume::bounded(SERVE_RING);
+        let (pull_tx, pull_rx) = flume::bounded(EVENT_QUEUE_LEN);
+        let (serve_tx, serve_rx) = flume::bounded(SERVE_QUEUE_LEN);
         let store = setup.store.clone();
         let progress = Arc::new(Mutex::new(Progress::default()));
         let server = serve::Server::new(store.clone(), setup.link.clone(), setup.clock);
-        spawn("weights-serve", move || server.run(&serve_rx));
+        spawn_thread("weights-serve", move || server.run(&serve_rx));
         let puller =
             pull::Puller::new(setup, pull_tx.downgrade(), serve_tx.downgrade(), progress.clone());
-        spawn("weights-pull", move || puller.run(pull_rx));
+        spawn_thread("weights-pull", move || puller.run(pull_rx));
         Weights {
             store,
             pull: pull_tx,
@@ -131,59 +131,59 @@
         }
     }
 
-    /// The store.
+    /// The store that the threads fill and serve.
     pub fn store(&self) -> &Arc<Store> {
         &self.store
     }
 
-    /// Says which versions are to be here; all else may be dropped at once.
-    pub fn want(&self, wanted: Wanted) {
+    /// Sets the wanted versions. All other versions may be removed from the store immediately.
+    pub fn set_wanted(&self, wanted: WantedVersions) {
         let mut old = self.wanted.lock().expect("no holder of this lock panics");
-        if *old != wanted && self.pull.send(pull::Event::Want(wanted.clone())).is_ok() {
+        if *old != wanted && self.pull.send(pull::Event::SetWanted(wanted.clone())).is_ok() {
             *old = wanted;
         }
     }
 
-    /// Says which hosts take part.
+    /// Sets the hosts that exchange weights.
     pub fn set_peers(&self, peers: Vec<PeerAddress>) {
         let mut old = self.peers.lock().expect("no holder of this lock panics");
-        if *old != peers && self.pull.send(pull::Event::Peers(peers.clone())).is_ok() {
+        if *old != peers && self.pull.send(pull::Event::SetPeers(peers.clone())).is_ok() {
             *old = peers;
         }
     }
 
-    /// Says whether live requests run on this host's link.
-    pub fn set_beside_requests(&self, beside: bool) {
-        let _ = self.pull.try_send(pull::Event::BesideRequests(beside));
+    /// Sets whether requests of callers use this host's link.
+    pub fn set_link_shared(&self, is_shared: bool) {
+        let _ = self.pull.try_send(pull::Event::SetLinkShared(is_shared));
     }
 
-    /// Answers a peer's ask, or refuses it as busy.
+    /// Queues the request of a peer, or refuses it as busy.
     pub fn serve(&self, incoming: Incoming) {
         self.server().serve(incoming);
     }
 
-    /// A handle that answers peers' asks from another thread.
-    pub fn server(&self) -> Serving {
-        Serving { events: self.serve.clone() }
+    /// Returns a handle that queues peer requests from another thread.
+    pub fn server(&self) -> ServerHandle {
+        ServerHandle { events: self.serve.clone() }
     }
 
-    /// How far it is.
+    /// Progress after the last step of the `weights-pull` thread.
     pub fn progress(&self) -> Progress {
         self.progress.lock().expect("no holder of this lock panics").clone()
     }
 }
 
-/// Hands peers' asks to the serving thread.
+/// Queues peer requests for the `weights-serve` thread.
 #[derive(Clone)]
-pub struct Serving {
+pub struct ServerHandle {
     events: flume::Sender<serve::Event>,
 }
 
-impl Serving {
-    /// Answers a peer's ask, or refuses it as busy.
+impl ServerHandle {
+    /// Queues the request of a peer, or refuses it as busy.
     pub fn serve(&self, incoming: Incoming) {
-        let event = serve::Event::Ask(Box::new(incoming));
-        if let Err(flume::TrySendError::Full(serve::Event::Ask(incoming))) =
+        let event = serve::Event::Request(Box::new(incoming));
+        if let Err(flume::TrySendError::Full(serve::Event::Request(incoming))) =
             self.events.try_send(event)
         {
             serve::refuse_busy(&incoming.replies);
@@ -191,6 +191,6 @@
     }
 }
 
-fn spawn(name: &str, run: impl FnOnce() + Send + 'static) {
-    thread::Builder::new().name(name.to_owned()).spawn(run).expect("the system gives a thread");
+fn spawn_thread(name: &str, run: impl FnOnce() + Send + 'static) {
+    thread::Builder::new().name(name.to_owned()).spawn(run).expect("the operating system can start a thread");
 }
--- a/node/src/weights/budget.rs
+++ b/node/src/weights/budget.rs
@@ -1,4 +1,4 @@
-//! Pays for origin bytes from the objects on the platform.
+//! Charges pulls from the origin to the budget of their version, which is stored on the platform.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -17,72 +17,74 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Result of paying.
+/// Result of a budget operation.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// Conditional writes that may lose against others before the payment waits for a later try.
+/// Conflicting writes after which an update fails with [`Code::PlatformConflict`].
 const MAX_CONFLICTS: u32 = 16;
 
-/// A chunk to be paid for.
+/// A chunk that is to be pulled from the origin.
 #[derive(Clone, Copy, Debug)]
-pub struct Price {
-    /// The version.
+pub struct OriginPull {
+    /// Manifest digest of its version.
     pub version: Digest,
-    /// Its bytes.
+    /// Size of the version in bytes.
     pub version_len: u64,
-    /// Copies of it that may leave the origin, for the whole fleet.
-    pub copies: f64,
-    /// The chunk's index in the manifest.
+    /// Maximum number of copies of the version that leave the origin, over the whole fleet.
+    pub max_copies: f64,
+    /// Index of the chunk in the manifest.
     pub index: usize,
-    /// Its bytes.
+    /// Size of the chunk in bytes.
     pub len: u64,
-    /// Whether a repeated pull may be paid for.
-    pub repeat: bool,
+    /// Whether the chunk may be pulled again if it was pulled before.
+    pub allow_repeat: bool,
 }
 
-/// Pays for one host.
+/// Grants pulls from the origin to one host.
 pub struct OriginBudget {
     platform: Arc<dyn ObjectStore>,
-    /// Paid for, but the origin could not be reached and no byte left it.
-    unused: HashSet<(Digest, usize)>,
+    /// Grants whose pull did not happen, as version and chunk index.
+    unused_grants: HashSet<(Digest, usize)>,
 }
 
 impl OriginBudget {
-    /// A budget kept on `platform`.
+    /// Uses the budget objects on `platform`.
     pub fn new(platform: Arc<dyn ObjectStore>) -> OriginBudget {
-        OriginBudget { platform, unused: HashSet::new() }
+        OriginBudget { platform, unused_grants: HashSet::new() }
     }
 
-    /// Pays for one pull of a chunk.
+    /// Records one pull of a chunk in the budget.
     ///
-    /// [`Code::PulledBefore`] when this would be a repeat and the price does not allow one;
-    /// [`Code::OriginBudget`] when nothing is left; the platform's code while it cannot be reached.
-    /// A lost answer may have taken effect: the grant then counts as spent and is not used, so that
-    /// the bound holds, and a later try pays again.
-    pub fn pay(&mut self, price: &Price) -> Result<()> {
-        if self.unused.remove(&(price.version, price.index)) {
+    /// Fails with [`Code::PulledBefore`] if this is a repeat and `pull` does not allow one, with
+    /// [`Code::OriginBudget`] if the budget is exhausted, and with the code of the platform error
+    /// while the platform is unavailable. An update whose answer is lost may have taken effect. It
+    /// counts as spent and is not used, so the limit holds, and a retry is charged again.
+    pub fn grant(&mut self, pull: &OriginPull) -> Result<()> {
+        if self.unused_grants.remove(&(pull.version, pull.index)) {
             return Ok(());
         }
-        let key = first_pulls_key(price.version, price.index);
-        if self.change(&key, |first: &mut FirstPulls| first.grant(price.index))? {
+        let key = first_pulls_key(pull.version, pull.index);
+        if self.update(&key, |first: &mut FirstPulls| first.grant(pull.index))? {
             return Ok(());
         }
-        if !price.repeat {
+        if !pull.allow_repeat {
             return Err(Code::PulledBefore);
         }
-        let limit = repeats_limit(price.version_len, price.copies);
-        let key = repeats_key(price.version);
-        let granted = self.change(&key, |repeats: &mut Repeats| repeats.grant(price.len, limit))?;
+        let limit = repeats_limit(pull.version_len, pull.max_copies);
+        let key = repeats_key(pull.version);
+        let granted = self.update(&key, |repeats: &mut Repeats| repeats.grant(pull.len, limit))?;
         if granted { Ok(()) } else { Err(Code::OriginBudget) }
     }
 
-    /// The pull did not happen: no byte left the origin. The next try need not pay.
-    pub fn give_back(&mut self, price: &Price) {
-        self.unused.insert((price.version, price.index));
+    /// Returns the grant of a pull that did not happen because no byte left the origin. The next
+    /// attempt uses it instead of being charged again.
+    pub fn return_grant(&mut self, pull: &OriginPull) {
+        self.unused_grants.insert((pull.version, pull.index));
     }
 
-    /// Changes an object by conditional update; `change` says whether it did.
-    fn change<T: Default + DeserializeOwned + Serialize>(
+    /// Applies `change` to an object by a conditional update. Returns false, without a write, if
+    /// `change` does.
+    fn update<T: Default + DeserializeOwned + Serialize>(
         &self,
         key: &str,
         change: impl Fn(&mut T) -> bool,
--- a/node/src/weights/link.rs
+++ b/node/src/weights/link.rs
@@ -1,4 +1,4 @@
-//! How fast weights may leave this host.
+//! Rate limit of the weights that this host sends.
 
 use std::sync::Mutex;
 use std::sync::atomic::AtomicBool;
@@ -9,46 +9,46 @@
 use mastichaven_core::Time;
 use mastichaven_core::ids::HostName;
 
-/// Share of the link that weights may fill while live requests run on it.
-pub const SHARE_BESIDE_REQUESTS: f64 = 0.5;
+/// Fraction of the link rate that weights may use while requests of callers use the link.
+pub const SHARED_LINK_FRACTION: f64 = 0.5;
 
-/// When bytes towards a host have left.
+/// The network link of a host, which delays outgoing weights. Simulations replace it.
 pub trait Link: Send + Sync {
-    /// Queues `len` bytes towards `to` and gives the time at which they have left; `None` if they
-    /// get lost, which only a link of a test does.
+    /// Reserves the link for `len` bytes to `to` and returns the time at which they are sent.
+    /// `None` if they are lost, which happens only on simulated links.
     fn reserve(&self, to: &HostName, len: usize, now: Time) -> Option<Time>;
 
-    /// Whether a short message towards `to` arrives. It does not wait behind chunks: the bucket
-    /// keeps their queue in this process, and polls that waited in it would make a busy host look
+    /// Whether a short message to `to` is delivered; a simulated link loses some. Short messages
+    /// bypass the rate limit: polls that waited behind queued chunks would make a busy host appear
     /// dead.
-    fn passes(&self, _to: &HostName, _len: usize) -> bool {
+    fn delivers(&self, _to: &HostName, _len: usize) -> bool {
         true
     }
 
-    /// The bytes of a chunk as they arrive; a link of a test damages some.
-    fn carry(&self, bytes: Bytes) -> Bytes {
+    /// The bytes of a chunk as the peer receives them; a simulated link corrupts some.
+    fn transmit(&self, bytes: Bytes) -> Bytes {
         bytes
     }
 
-    /// Whether live requests run on this host's link.
-    fn set_beside_requests(&self, beside: bool);
+    /// Sets whether requests of callers use this link as well.
+    fn set_link_shared(&self, is_shared: bool);
 }
 
-/// A token bucket of this host's outgoing rate, without a burst.
+/// A token bucket without burst for the outgoing rate of this host.
 #[derive(Debug)]
 pub struct Uplink {
     bytes_per_second: Option<f64>,
-    beside_requests: AtomicBool,
-    free_at: Mutex<Time>,
+    is_shared: AtomicBool,
+    idle_at: Mutex<Time>,
 }
 
 impl Uplink {
-    /// An uplink of this rate; unlimited when `None`.
+    /// Creates an idle uplink; `None` for no limit.
     pub fn new(bytes_per_second: Option<u64>) -> Uplink {
         Uplink {
             bytes_per_second: bytes_per_second.map(|rate| rate.max(1) as f64),
-            beside_requests: AtomicBool::new(false),
-            free_at: Mutex::default(),
+            is_shared: AtomicBool::new(false),
+            idle_at: Mutex::default(),
         }
     }
 }
@@ -58,14 +58,14 @@
         let Some(rate) = self.bytes_per_second else {
             return Some(now);
         };
-        let beside = self.beside_requests.load(Ordering::Acquire);
-        let rate = if beside { rate * SHARE_BESIDE_REQUESTS } else { rate };
-        let mut free_at = self.free_at.lock().expect("no holder of this lock panics");
-        *free_at = (*free_at).max(now) + Duration::from_secs_f64(len as f64 / rate);
-        Some(*free_at)
+        let is_shared = self.is_shared.load(Ordering::Acquire);
+        let rate = if is_shared { rate * SHARED_LINK_FRACTION } else { rate };
+        let mut idle_at = self.idle_at.lock().expect("no holder of this lock panics");
+        *idle_at = (*idle_at).max(now) + Duration::from_secs_f64(len as f64 / rate);
+        Some(*idle_at)
     }
 
-    fn set_beside_requests(&self, beside: bool) {
-        self.beside_requests.store(beside, Ordering::Release);
+    fn set_link_shared(&self, is_shared: bool) {
+        self.is_shared.store(is_shared, Ordering::Release);
     }
 }
--- a/node/src/weights/pull.rs
+++ b/node/src/weights/pull.rs
@@ -1,4 +1,4 @@
-//! The thread that carries out the swarm's decisions: several requests in flight, each bounded.
+//! The thread that sends the requests of the swarm, several at once and each with a timeout.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,44 +31,43 @@
 use super::PeerAddress;
 use super::Progress;
 use super::Setup;
-use super::Wanted;
+use super::WantedVersions;
 use super::budget::OriginBudget;
-use super::fetch::Fetch;
-use super::fetch::Fetcher;
+use super::fetch::FetchJob;
+use super::fetch::OriginFetcher;
 use super::serve;
-use super::spawn;
+use super::spawn_thread;
 use super::store::Store;
 use crate::telemetry::Counter;
 use crate::transport::Transport;
 
-/// How often the swarm decides at least.
-const TICK: Duration = Duration::from_millis(40);
+/// Maximum time between two steps of the swarm.
+const MAX_STEP_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Requests waiting for the origin thread.
-const ORIGIN_RING: usize = 8;
+/// Maximum number of requests queued for the `weights-origin` thread; more are deferred.
+const ORIGIN_QUEUE_LEN: usize = 8;
 
-/// What the thread is told.
+/// An input of the thread.
 pub(super) enum Event {
-    /// The hosts that take part.
-    Peers(Vec<PeerAddress>),
-    /// The versions to have.
-    Want(Wanted),
-    /// Whether live requests run on this host's link.
-    BesideRequests(bool),
+    /// Sets the hosts that exchange weights.
+    SetPeers(Vec<PeerAddress>),
+    /// Sets the versions to download.
+    SetWanted(WantedVersions),
+    /// Sets whether requests of callers use this host's link.
+    SetLinkShared(bool),
     /// A request has ended.
     Done {
-        /// The request.
         request: Request,
-        /// How it ended.
-        end: RequestOutcome,
-        /// What the peer said it has.
-        told: Option<Have>,
-        /// The numbered error behind it.
+        /// Its outcome, as reported to the swarm.
+        outcome: RequestOutcome,
+        /// The chunks that the peer has, if its answer reported them.
+        availability: Option<Have>,
+        /// The error that caused the outcome, for the state dump.
         error: Option<Code>,
     },
 }
 
-/// Carries out requests.
+/// Sends the requests of the swarm and stores the answers.
 pub(super) struct Puller {
     setup: Setup,
     events: flume::WeakSender<Event>,
@@ -76,7 +75,7 @@
     progress: Arc<Mutex<Progress>>,
     swarm: Swarm,
     addresses: HashMap<HostName, SocketAddr>,
-    wanted: Wanted,
+    wanted: WantedVersions,
     last_error: Option<Code>,
 }
 
@@ -87,7 +86,7 @@
         serve: flume::WeakSender<serve::Event>,
         progress: Arc<Mutex<Progress>>,
     ) -> Puller {
-        let swarm = Swarm::new(&setup.me, setup.way);
+        let swarm = Swarm::new(&setup.location, setup.strategy);
         Puller {
             setup,
             events,
@@ -95,139 +94,146 @@
             progress,
             swarm,
             addresses: HashMap::new(),
-            wanted: Wanted::default(),
+            wanted: WantedVersions::default(),
             last_error: None,
         }
     }
 
-    /// Runs until nobody can send events any more.
+    /// Runs until all senders of events are dropped.
     pub(super) fn run(mut self, events: flume::Receiver<Event>) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .build()
-            .expect("the system gives a timer");
-        let seed = key_of(Digest::of(self.setup.me.host.as_str().as_bytes()));
-        let origin = self.start_origin();
+            .expect("the operating system can provide a timer");
+        let seed = key_of(Digest::of(self.setup.location.host.as_str().as_bytes()));
+        let origin = self.start_fetcher();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         runtime.block_on(async {
-            while self.wait(&events).await {
+            while self.process_events(&events).await {
                 let now = self.setup.clock.now();
                 for request in self.swarm.step(now, &mut rng) {
-                    self.carry_out(request, &origin);
+                    self.send(request, &origin);
                 }
-                self.publish();
+                self.publish_progress();
             }
         });
     }
 
-    fn start_origin(&self) -> flume::Sender<Fetch> {
-        let (tx, rx) = flume::bounded(ORIGIN_RING);
-        let fetcher = Fetcher {
+    fn start_fetcher(&self) -> flume::Sender<FetchJob> {
+        let (tx, rx) = flume::bounded(ORIGIN_QUEUE_LEN);
+        let fetcher = OriginFetcher {
             origin: self.setup.origin.clone(),
             budget: OriginBudget::new(self.setup.platform.clone()),
             store: self.setup.store.clone(),
         };
         let events = self.events.clone();
-        spawn("weights-origin", move || fetcher.run(&rx, &events));
+        spawn_thread("weights-origin", move || fetcher.run(&rx, &events));
         tx
     }
 
-    /// Takes in what has happened; false when it is time to end.
-    async fn wait(&mut self, events: &flume::Receiver<Event>) -> bool {
-        match tokio::time::timeout(TICK, events.recv_async()).await {
+    /// Waits for events for at most one step interval and handles them. Returns false once all
+    /// senders are dropped.
+    async fn process_events(&mut self, events: &flume::Receiver<Event>) -> bool {
+        match tokio::time::timeout(MAX_STEP_INTERVAL, events.recv_async()).await {
             Err(_) => return true,
             Ok(Err(_)) => return false,
-            Ok(Ok(event)) => self.take(event),
+            Ok(Ok(event)) => self.handle_event(event),
         }
         while let Ok(event) = events.try_recv() {
-            self.take(event);
+            self.handle_event(event);
         }
         true
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Peers(peers) => self.set_peers(peers),
-            Event::Want(wanted) => self.want(wanted),
-            Event::BesideRequests(beside) => {
-                self.swarm.set_link_shared(beside);
-                self.setup.link.set_beside_requests(beside);
+            Event::SetPeers(peers) => self.set_peers(peers),
+            Event::SetWanted(wanted) => self.set_wanted(wanted),
+            Event::SetLinkShared(is_shared) => {
+                self.swarm.set_link_shared(is_shared);
+                self.setup.link.set_link_shared(is_shared);
+            }
+            Event::Done { request, outcome, availability, error } => {
+                self.finish(&request, outcome, availability, error)
             }
-            Event::Done { request, end, told, error } => self.done(&request, end, told, error),
         }
     }
 
     fn set_peers(&mut self, peers: Vec<PeerAddress>) {
-        self.addresses = peers.iter().map(|peer| (peer.place.host.clone(), peer.address)).collect();
-        let mut places: Vec<PeerLocation> = peers.into_iter().map(|peer| peer.place).collect();
-        if !places.iter().any(|place| place.host == self.setup.me.host) {
-            places.push(self.setup.me.clone());
+        self.addresses =
+            peers.iter().map(|peer| (peer.location.host.clone(), peer.address)).collect();
+        let mut locations: Vec<PeerLocation> =
+            peers.into_iter().map(|peer| peer.location).collect();
+        if !locations.iter().any(|location| location.host == self.setup.location.host) {
+            locations.push(self.setup.location.clone());
         }
-        self.swarm.set_peers(&places, self.setup.origin_region.as_ref());
+        self.swarm.set_peers(&locations, self.setup.origin_region.as_ref());
     }
 
-    fn want(&mut self, wanted: Wanted) {
+    fn set_wanted(&mut self, wanted: WantedVersions) {
         let now = self.setup.clock.now();
-        self.setup.store.keep(&wanted.versions);
+        self.setup.store.retain_versions(&wanted.versions);
         self.swarm.set_wanted_versions(&wanted.versions, now);
         self.wanted = wanted;
         for version in self.wanted.versions.clone() {
             if let Some(manifest) = self.setup.store.manifest(version) {
-                self.open(&manifest);
+                self.add_manifest(&manifest);
             }
         }
     }
 
-    fn open(&mut self, manifest: &Manifest) {
+    fn add_manifest(&mut self, manifest: &Manifest) {
         let store = &self.setup.store;
         self.swarm.set_manifest(manifest, |digest| store.has(digest), self.setup.clock.now());
     }
 
-    fn done(
+    fn finish(
         &mut self,
         request: &Request,
-        end: RequestOutcome,
-        told: Option<Have>,
+        outcome: RequestOutcome,
+        availability: Option<Have>,
         error: Option<Code>,
     ) {
         let now = self.setup.clock.now();
         self.last_error = error.or(self.last_error);
-        self.count(request, &end);
-        if let (Destination::Peer(id), Some(have)) = (request.destination, told) {
+        self.count_transfer(request, &outcome);
+        if let (Destination::Peer(id), Some(have)) = (request.destination, availability) {
             self.swarm.record_availability(id, request.version, have.chunks, have.queue_len, now);
         }
-        if let RequestOutcome::Manifest(manifest) = &end {
-            self.open(manifest);
-            self.tell_server(request.version);
+        if let RequestOutcome::Manifest(manifest) = &outcome {
+            self.add_manifest(manifest);
+            self.notify_server(request.version);
         }
-        if let (RequestOutcome::Stored, RequestKind::Chunk { digest, .. }) = (&end, request.kind) {
-            self.tell_server(digest);
-            // Also when the swarm has given the request up meanwhile: the chunk is here.
+        if let (RequestOutcome::Stored, RequestKind::Chunk { digest, .. }) =
+            (&outcome, request.kind)
+        {
+            self.notify_server(digest);
+            // `finish` ignores requests that have expired, but the chunk is stored.
             self.swarm.mark_stored(digest, now);
         }
-        self.swarm.finish(request.flight, end, now);
+        self.swarm.finish(request.flight, outcome, now);
     }
 
-    fn tell_server(&self, digest: Digest) {
+    fn notify_server(&self, digest: Digest) {
         if let Some(serve) = self.serve.upgrade() {
             let _ = serve.send(serve::Event::Stored(digest));
         }
     }
 
-    fn carry_out(&mut self, request: Request, origin: &flume::Sender<Fetch>) {
+    fn send(&mut self, request: Request, origin: &flume::Sender<FetchJob>) {
         let now = self.setup.clock.now();
         match request.destination {
             Destination::Origin => {
-                let copies = self.wanted.origin_copies;
-                if origin.try_send(Fetch { request, copies }).is_err() {
+                let max_copies = self.wanted.origin_copies;
+                if origin.try_send(FetchJob { request, max_copies }).is_err() {
                     self.swarm.finish(request.flight, RequestOutcome::Deferred, now);
                 }
             }
             Destination::Peer(id) => match self.address(id) {
-                Some(address) => self.ask_peer(request, address),
+                Some(address) => self.send_to_peer(request, address),
                 None => self.swarm.finish(request.flight, RequestOutcome::Unreachable, now),
             },
-            // This path has no caches.
+            // Only the direct path has caches.
             Destination::Cache => {
                 self.swarm.finish(request.flight, RequestOutcome::Unreachable, now)
             }
@@ -238,22 +244,25 @@
         self.addresses.get(&self.swarm.location(id).host).copied()
     }
 
-    fn ask_peer(&self, request: Request, address: SocketAddr) {
-        let ask = Ask { from: (self.setup.sender)(), body: AskBody::Weights(ask_of(&request)) };
+    fn send_to_peer(&self, request: Request, address: SocketAddr) {
+        let ask =
+            Ask { from: (self.setup.sender)(), body: AskBody::Weights(peer_request(&request)) };
         let transport = self.setup.transport.clone();
         let store = self.setup.store.clone();
         let events = self.events.clone();
         tokio::spawn(async move {
-            let (end, told, error) = exchange(&transport, address, &ask, &request, &store).await;
+            let (outcome, availability, error) =
+                exchange(&transport, address, &ask, &request, &store).await;
             if let Some(events) = events.upgrade() {
-                let _ = events.send_async(Event::Done { request, end, told, error }).await;
+                let _ =
+                    events.send_async(Event::Done { request, outcome, availability, error }).await;
             }
         });
     }
 
-    fn count(&self, request: &Request, end: &RequestOutcome) {
+    fn count_transfer(&self, request: &Request, outcome: &RequestOutcome) {
         let telemetry = &self.setup.telemetry;
-        match (end, request.kind, request.destination) {
+        match (outcome, request.kind, request.destination) {
             (RequestOutcome::Stored, RequestKind::Chunk { len, .. }, Destination::Origin) => {
                 telemetry.count(Counter::OriginChunks);
                 telemetry.add(Counter::OriginBytes, len.into());
@@ -267,29 +276,34 @@
         }
     }
 
-    fn publish(&self) {
+    fn publish_progress(&self) {
         let mut progress = self.progress.lock().expect("no holder of this lock panics");
         progress.missing = self.swarm.missing();
         progress.counts = self.swarm.counts();
         progress.last_error = self.last_error;
-        progress.troubled =
-            self.swarm.degraded_neighbours().map(|(place, _)| place.host.to_string()).collect();
+        progress.degraded_neighbours = self
+            .swarm
+            .degraded_neighbours()
+            .map(|(location, _)| location.host.to_string())
+            .collect();
     }
 }
 
-fn ask_of(request: &Request) -> WeightsRequest {
+fn peer_request(request: &Request) -> WeightsRequest {
     let version = request.version;
-    let park = u16::try_from(LONG_POLL_TIMEOUT.as_millis()).unwrap_or(u16::MAX);
+    let long_poll_ms = u16::try_from(LONG_POLL_TIMEOUT.as_millis()).unwrap_or(u16::MAX);
     match request.kind {
-        RequestKind::Manifest => WeightsRequest::Manifest { version, long_poll_ms: park },
-        RequestKind::Chunk { digest, long_poll: parks, .. } => {
-            WeightsRequest::Chunk { digest, version, long_poll_ms: if parks { park } else { 0 } }
-        }
+        RequestKind::Manifest => WeightsRequest::Manifest { version, long_poll_ms },
+        RequestKind::Chunk { digest, long_poll, .. } => WeightsRequest::Chunk {
+            digest,
+            version,
+            long_poll_ms: if long_poll { long_poll_ms } else { 0 },
+        },
         RequestKind::Have => WeightsRequest::Have(version),
     }
 }
 
-/// Sends one ask and judges its reply.
+/// Sends one request to a peer and stores the bytes that it returns.
 async fn exchange(
     transport: &Transport,
     address: SocketAddr,
--- a/node/src/weights/serve.rs
+++ b/node/src/weights/serve.rs
@@ -1,4 +1,4 @@
-//! The thread that answers peers: chunks leave in order, as fast as the link may.
+//! The thread that answers requests of peers for weights, in order and at the rate of the link.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -24,82 +24,83 @@
 use crate::transport::Incoming;
 use crate::transport::ReplySink;
 
-/// Chunks waiting for the link at most; more are refused as busy.
-const MAX_QUEUED: usize = 64;
+/// Maximum number of replies queued for the link; further requests are refused as busy.
+const MAX_QUEUED_REPLIES: usize = 64;
 
-/// Asks held until their chunk comes at most; more are answered as absent.
-const MAX_PARKED: usize = 2_048;
+/// Maximum number of requests that wait for their chunk; more are answered as absent.
+const MAX_LONG_POLLS: usize = 2_048;
 
-/// How long the thread sleeps at most.
-const LONGEST_SLEEP: Duration = Duration::from_millis(200);
+/// Maximum time that the thread waits for an event.
+const MAX_SLEEP: Duration = Duration::from_millis(200);
 
-/// A have-map goes along with a chunk if it is this much smaller.
-const MAP_SHARE: usize = 32;
+/// A bitmap is sent with a chunk only if the chunk is at least this many times larger.
+const MIN_CHUNK_TO_BITMAP_RATIO: usize = 32;
 
-/// Bytes of a message without its payload.
-const MESSAGE_LEN: usize = 64;
+/// Size of a message without its payload in bytes.
+const MESSAGE_OVERHEAD_BYTES: usize = 64;
 
-/// What the thread is told.
+/// An input of the thread.
 pub(super) enum Event {
-    /// A peer asks.
-    Ask(Box<Incoming>),
-    /// A chunk or manifest has been stored.
+    /// A request from a peer.
+    Request(Box<Incoming>),
+    /// The chunk or manifest with this digest was stored.
     Stored(Digest),
 }
 
-/// An ask for bytes: the digest of the chunk or manifest, and the version.
+/// A requested chunk or manifest, and the version that it belongs to.
 #[derive(Clone, Copy)]
-struct Wanted {
+struct RequestedObject {
     digest: Digest,
     version: Digest,
     is_manifest: bool,
 }
 
-struct Parked {
-    wanted: Wanted,
+struct LongPoll {
+    object: RequestedObject,
     to: HostName,
     sink: ReplySink,
-    until: Time,
+    expires_at: Time,
 }
 
-struct Queued {
+struct QueuedReply {
     due: Time,
-    number: u64,
-    wanted: Wanted,
+    sequence: u64,
+    object: RequestedObject,
     sink: ReplySink,
 }
 
-impl PartialEq for Queued {
+impl PartialEq for QueuedReply {
     fn eq(&self, other: &Self) -> bool {
-        (self.due, self.number) == (other.due, other.number)
+        (self.due, self.sequence) == (other.due, other.sequence)
     }
 }
 
-impl Eq for Queued {}
+impl Eq for QueuedReply {}
 
-impl PartialOrd for Queued {
+impl PartialOrd for QueuedReply {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
-    /// The earliest comes out of the heap first.
+impl Ord for QueuedReply {
+    /// Reversed, because [`BinaryHeap`] pops the greatest element first.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.due, other.number).cmp(&(self.due, self.number))
+        (other.due, other.sequence).cmp(&(self.due, self.sequence))
     }
 }
 
-/// Answers peers.
+/// Answers requests of peers from the store.
 pub(super) struct Server {
     store: Arc<Store>,
     link: Arc<dyn Link>,
     clock: Clock,
-    queued: BinaryHeap<Queued>,
-    parked: Vec<Parked>,
-    /// Asks whose answer got lost on a link; kept so that the peer sees silence and no refusal.
-    lost: Vec<ReplySink>,
-    number: u64,
+    send_queue: BinaryHeap<QueuedReply>,
+    long_polls: Vec<LongPoll>,
+    /// Requests whose answer a simulated link lost. Dropping the sink would end the stream, which
+    /// the peer would see as a refusal instead of a timeout.
+    unanswered: Vec<ReplySink>,
+    sequence: u64,
 }
 
 impl Server {
@@ -108,155 +109,155 @@
             store,
             link,
             clock,
-            queued: BinaryHeap::new(),
-            parked: Vec::new(),
-            lost: Vec::new(),
-            number: 0,
+            send_queue: BinaryHeap::new(),
+            long_polls: Vec::new(),
+            unanswered: Vec::new(),
+            sequence: 0,
         }
     }
 
-    /// Runs until nobody can send events any more.
+    /// Runs until all senders of events are dropped.
     pub(super) fn run(mut self, events: &flume::Receiver<Event>) {
         loop {
             let now = self.clock.now();
             self.send_due(now);
-            let due = self.queued.peek().map(|queued| queued.due.since(now));
-            let sleep = due.unwrap_or(LONGEST_SLEEP).min(LONGEST_SLEEP);
+            let due = self.send_queue.peek().map(|queued| queued.due.since(now));
+            let sleep = due.unwrap_or(MAX_SLEEP).min(MAX_SLEEP);
             match events.recv_timeout(sleep) {
-                Ok(Event::Ask(incoming)) => self.ask(*incoming),
-                Ok(Event::Stored(digest)) => self.stored(digest),
-                Err(flume::RecvTimeoutError::Timeout) => self.expire(),
+                Ok(Event::Request(incoming)) => self.handle_request(*incoming),
+                Ok(Event::Stored(digest)) => self.answer_long_polls(digest),
+                Err(flume::RecvTimeoutError::Timeout) => self.expire_long_polls(),
                 Err(flume::RecvTimeoutError::Disconnected) => return,
             }
         }
     }
 
-    fn ask(&mut self, incoming: Incoming) {
+    fn handle_request(&mut self, incoming: Incoming) {
         let Incoming { peer, ask, replies } = incoming;
         let AskBody::Weights(ask) = ask.body else {
             return;
         };
-        let (wanted, long_poll_ms) = match ask {
+        let (object, long_poll_ms) = match ask {
             WeightsRequest::Have(version) => {
                 let reply = WeightsReply::Have(self.have(version));
-                return self.send_short(&peer.host, reply, replies);
+                return self.send_immediately(&peer.host, reply, replies);
             }
             WeightsRequest::Manifest { version, long_poll_ms } => {
-                (Wanted { digest: version, version, is_manifest: true }, long_poll_ms)
+                (RequestedObject { digest: version, version, is_manifest: true }, long_poll_ms)
             }
             WeightsRequest::Chunk { digest, version, long_poll_ms } => {
-                (Wanted { digest, version, is_manifest: false }, long_poll_ms)
+                (RequestedObject { digest, version, is_manifest: false }, long_poll_ms)
             }
         };
-        if self.is_here(wanted) {
-            if long_poll_ms == 0 && self.queued.len() >= BUSY_QUEUE as usize {
+        if self.is_stored(object) {
+            if long_poll_ms == 0 && self.send_queue.len() >= BUSY_QUEUE as usize {
                 return refuse_busy(&replies);
             }
-            return self.queue_bytes(&peer.host, wanted, replies);
+            return self.queue_reply(&peer.host, object, replies);
         }
-        if long_poll_ms == 0 || self.parked.len() >= MAX_PARKED {
-            return self.send_short(&peer.host, WeightsReply::Absent, replies);
+        if long_poll_ms == 0 || self.long_polls.len() >= MAX_LONG_POLLS {
+            return self.send_immediately(&peer.host, WeightsReply::Absent, replies);
         }
-        let until =
+        let expires_at =
             self.clock.now() + Duration::from_millis(u64::from(long_poll_ms.min(MAX_LONG_POLL_MS)));
-        self.parked.push(Parked { wanted, to: peer.host, sink: replies, until });
+        self.long_polls.push(LongPoll { object, to: peer.host, sink: replies, expires_at });
     }
 
-    fn is_here(&self, wanted: Wanted) -> bool {
-        if wanted.is_manifest {
-            self.store.manifest(wanted.version).is_some()
+    fn is_stored(&self, object: RequestedObject) -> bool {
+        if object.is_manifest {
+            self.store.manifest(object.version).is_some()
         } else {
-            self.store.has(wanted.digest)
+            self.store.has(object.digest)
         }
     }
 
-    fn len_of(&self, wanted: Wanted) -> usize {
-        let manifest = self.store.manifest(wanted.version);
-        if wanted.is_manifest {
+    fn object_len(&self, object: RequestedObject) -> usize {
+        let manifest = self.store.manifest(object.version);
+        if object.is_manifest {
             return manifest.map_or(0, |manifest| manifest.encode().len());
         }
-        self.store.chunk(wanted.digest).map_or(0, |bytes| bytes.len())
+        self.store.chunk(object.digest).map_or(0, |bytes| bytes.len())
     }
 
     fn have(&self, version: Digest) -> Have {
         let chunks = self.store.have(version).unwrap_or_default();
-        Have { chunks, queue_len: self.queued.len() as u32 }
+        Have { chunks, queue_len: self.send_queue.len() as u32 }
     }
 
-    fn queue_bytes(&mut self, to: &HostName, wanted: Wanted, sink: ReplySink) {
+    fn queue_reply(&mut self, to: &HostName, object: RequestedObject, sink: ReplySink) {
         if sink.is_cancelled() {
             return;
         }
-        if self.queued.len() >= MAX_QUEUED {
+        if self.send_queue.len() >= MAX_QUEUED_REPLIES {
             return refuse_busy(&sink);
         }
-        let len = self.len_of(wanted) + MESSAGE_LEN;
+        let len = self.object_len(object) + MESSAGE_OVERHEAD_BYTES;
         let Some(due) = self.link.reserve(to, len, self.clock.now()) else {
-            return self.lost.push(sink);
+            return self.unanswered.push(sink);
         };
-        self.number += 1;
-        self.queued.push(Queued { due, number: self.number, wanted, sink });
+        self.sequence += 1;
+        self.send_queue.push(QueuedReply { due, sequence: self.sequence, object, sink });
     }
 
-    fn send_short(&mut self, to: &HostName, reply: WeightsReply, sink: ReplySink) {
-        let len = MESSAGE_LEN
+    fn send_immediately(&mut self, to: &HostName, reply: WeightsReply, sink: ReplySink) {
+        let len = MESSAGE_OVERHEAD_BYTES
             + if let WeightsReply::Have(have) = &reply { have.chunks.wire_len() } else { 0 };
-        if self.link.passes(to, len) {
+        if self.link.delivers(to, len) {
             send(&sink, ReplyBody::Weights(reply));
         } else {
-            self.lost.push(sink);
+            self.unanswered.push(sink);
         }
     }
 
     fn send_due(&mut self, now: Time) {
-        while self.queued.peek().is_some_and(|queued| queued.due <= now) {
-            let Some(queued) = self.queued.pop() else {
+        while self.send_queue.peek().is_some_and(|queued| queued.due <= now) {
+            let Some(queued) = self.send_queue.pop() else {
                 return;
             };
-            send(&queued.sink, ReplyBody::Weights(self.bytes(queued.wanted)));
+            send(&queued.sink, ReplyBody::Weights(self.read_object(queued.object)));
         }
     }
 
-    fn bytes(&self, wanted: Wanted) -> WeightsReply {
-        if wanted.is_manifest {
-            let manifest = self.store.manifest(wanted.version);
+    fn read_object(&self, object: RequestedObject) -> WeightsReply {
+        if object.is_manifest {
+            let manifest = self.store.manifest(object.version);
             return manifest.map_or(WeightsReply::Absent, |manifest| WeightsReply::Bytes {
                 bytes: manifest.encode().into(),
                 have: None,
             });
         }
-        let Some(bytes) = self.store.chunk(wanted.digest) else {
+        let Some(bytes) = self.store.chunk(object.digest) else {
             return WeightsReply::Absent;
         };
-        let have = self.have(wanted.version);
-        let small = have.chunks.wire_len() * MAP_SHARE <= bytes.len();
-        WeightsReply::Bytes { bytes: self.link.carry(bytes), have: small.then_some(have) }
+        let have = self.have(object.version);
+        let is_small = have.chunks.wire_len() * MIN_CHUNK_TO_BITMAP_RATIO <= bytes.len();
+        WeightsReply::Bytes { bytes: self.link.transmit(bytes), have: is_small.then_some(have) }
     }
 
-    fn stored(&mut self, digest: Digest) {
+    fn answer_long_polls(&mut self, digest: Digest) {
         let mut n = 0;
-        while n < self.parked.len() {
-            if self.parked[n].wanted.digest == digest {
-                let Parked { wanted, to, sink, .. } = self.parked.swap_remove(n);
-                self.queue_bytes(&to, wanted, sink);
+        while n < self.long_polls.len() {
+            if self.long_polls[n].object.digest == digest {
+                let LongPoll { object, to, sink, .. } = self.long_polls.swap_remove(n);
+                self.queue_reply(&to, object, sink);
             } else {
                 n += 1;
             }
         }
     }
 
-    fn expire(&mut self) {
+    fn expire_long_polls(&mut self) {
         let now = self.clock.now();
-        self.lost.retain(|sink| !sink.is_cancelled());
-        let parked = std::mem::take(&mut self.parked);
-        for held in parked {
-            if held.sink.is_cancelled() {
+        self.unanswered.retain(|sink| !sink.is_cancelled());
+        let long_polls = std::mem::take(&mut self.long_polls);
+        for long_poll in long_polls {
+            if long_poll.sink.is_cancelled() {
                 continue;
             }
-            if now < held.until {
-                self.parked.push(held);
+            if now < long_poll.expires_at {
+                self.long_polls.push(long_poll);
             } else {
-                self.send_short(&held.to, WeightsReply::Absent, held.sink);
+                self.send_immediately(&long_poll.to, WeightsReply::Absent, long_poll.sink);
             }
         }
     }
@@ -266,7 +267,7 @@
     let _ = sink.send(Reply { generation: Default::default(), body });
 }
 
-/// Tells a peer that this host is busy.
+/// Refuses a request because the queue is full.
 pub(super) fn refuse_busy(sink: &ReplySink) {
     send(sink, ReplyBody::Refused(Code::Busy));
 }
--- a/node/tests/weights/main.rs
+++ b/node/tests/weights/main.rs
@@ -1,4 +1,4 @@
-//! The chunk store and the origin budget on their interfaces.
+//! Tests of the chunk store and of the origin budget through their public interfaces.
 
 mod budget;
 mod store;
