--- a/bench/src/member_net.rs
+++ b/bench/src/member_net.rs
@@ -13,8 +13,8 @@
 use mastichaven_core::members::EndpointKind;
 use mastichaven_core::members::Health;
 use mastichaven_core::members::Member;
-use mastichaven_core::members::MembersAsk;
 use mastichaven_core::members::MembersReply;
+use mastichaven_core::members::MembersRequest;
 use mastichaven_core::members::Serving;
 use mastichaven_core::membership::GossipConfig;
 use mastichaven_core::membership::Membership;
@@ -22,10 +22,10 @@
 use mastichaven_core::platform::HostRole;
 use mastichaven_core::run::Load;
 use mastichaven_core::wire;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use mastichaven_core::wire::Sender;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -62,7 +62,7 @@
 }
 
 enum Event {
-    Ask { from: usize, to: usize, token: u64, ask: MembersAsk },
+    Ask { from: usize, to: usize, token: u64, ask: MembersRequest },
     Reply { to: usize, token: u64, reply: MembersReply },
     Late { to: usize, token: u64 },
     Helped { helper: usize, asker: usize, token: u64, reached: bool },
@@ -264,8 +264,8 @@
         }
     }
 
-    fn take_ask(&mut self, from: usize, to: usize, token: u64, ask: MembersAsk) {
-        if let MembersAsk::IndirectProbe(address) = ask {
+    fn take_ask(&mut self, from: usize, to: usize, token: u64, ask: MembersRequest) {
+        if let MembersRequest::IndirectProbe(address) = ask {
             let target = self.by_address.get(&address).copied();
             let reached = target.is_some_and(|target| {
                 let runs = self.nodes[target].up && self.nodes[target].paused_until <= self.now;
@@ -297,10 +297,10 @@
         self.send_all(to, sends);
     }
 
-    fn ask_bytes(&self, from: usize, ask: &MembersAsk) -> u64 {
+    fn ask_bytes(&self, from: usize, ask: &MembersRequest) -> u64 {
         let host = self.nodes[from].host.clone();
         let from = Sender { host, ..Sender::default() };
-        let ask = Ask { from, body: AskBody::Members(ask.clone()) };
+        let ask = RequestMessage { from, body: RequestBody::Members(ask.clone()) };
         wire::encode(&ask).len() as u64 + MESSAGE_OVERHEAD + ACK_BYTES
     }
 }
--- a/bench/src/spread.rs
+++ b/bench/src/spread.rs
@@ -16,8 +16,8 @@
 use mastichaven_core::members::Serving;
 use mastichaven_core::platform::HostRole;
 use mastichaven_core::platform::ListedHost;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use mastichaven_core::wire::Sender;
 use mastichaven_node::clock::Clock;
 use mastichaven_node::control;
@@ -83,9 +83,12 @@
         }
     }
 
-    fn ask(&self, body: AskBody) -> Ask {
+    fn ask(&self, body: RequestBody) -> RequestMessage {
         let (host, incarnation) = (self.host.as_str().into(), self.incarnation);
-        Ask { from: Sender { host, incarnation, generation: self.documents.generation() }, body }
+        RequestMessage {
+            from: Sender { host, incarnation, generation: self.documents.generation() },
+            body,
+        }
     }
 
     fn documents(&self) -> &Documents {
--- a/core/src/members.rs
+++ b/core/src/members.rs
@@ -144,7 +144,7 @@
 
 /// A request of the membership protocol.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum MembersAsk {
+pub enum MembersRequest {
     /// Asks the receiver for its [`Member`].
     Probe,
     /// A regular heartbeat, or first contact with an unknown address.
@@ -157,17 +157,17 @@
     HostLeaving(bool),
 }
 
-/// Answer to a [`MembersAsk`].
+/// Answer to a [`MembersRequest`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum MembersReply {
-    /// Answer to [`MembersAsk::Probe`].
+    /// Answer to [`MembersRequest::Probe`].
     Member(Member),
-    /// Answer to [`MembersAsk::Heartbeat`].
+    /// Answer to [`MembersRequest::Heartbeat`].
     Heartbeat(Heartbeat),
-    /// Answer to [`MembersAsk::IndirectProbe`]: whether the probed process answered.
+    /// Answer to [`MembersRequest::IndirectProbe`]: whether the probed process answered.
     Reached(bool),
-    /// Answer to [`MembersAsk::Sync`].
+    /// Answer to [`MembersRequest::Sync`].
     Updates(Vec<MemberUpdate>),
-    /// Answer to [`MembersAsk::HostLeaving`].
+    /// Answer to [`MembersRequest::HostLeaving`].
     Ack,
 }
--- a/core/src/membership.rs
+++ b/core/src/membership.rs
@@ -28,8 +28,8 @@
 use crate::members::Heartbeat;
 use crate::members::Member;
 use crate::members::MemberUpdate;
-use crate::members::MembersAsk;
 use crate::members::MembersReply;
+use crate::members::MembersRequest;
 use crate::members::Stamp;
 use crate::platform::HostRole;
 use crate::ring;
@@ -128,7 +128,7 @@
     /// Correlates the answer with this message.
     pub token: u64,
     /// Body of the message.
-    pub ask: MembersAsk,
+    pub ask: MembersRequest,
 }
 
 #[derive(Clone, Debug)]
@@ -374,24 +374,24 @@
         addresses
             .into_iter()
             .map(|to| {
-                self.send(to, MembersAsk::Heartbeat(heartbeat.clone()), InFlight::Announcement)
+                self.send(to, MembersRequest::Heartbeat(heartbeat.clone()), InFlight::Announcement)
             })
             .collect()
     }
 
-    /// Answers a message from `host`. The caller handles [`MembersAsk::IndirectProbe`] and
-    /// [`MembersAsk::HostLeaving`].
-    pub fn on_ask(&mut self, now: Time, host: &HostName, ask: MembersAsk) -> MembersReply {
+    /// Answers a message from `host`. The caller handles [`MembersRequest::IndirectProbe`] and
+    /// [`MembersRequest::HostLeaving`].
+    pub fn on_ask(&mut self, now: Time, host: &HostName, ask: MembersRequest) -> MembersReply {
         match ask {
-            MembersAsk::Probe => MembersReply::Member(self.local.clone()),
-            MembersAsk::Heartbeat(heartbeat) => {
+            MembersRequest::Probe => MembersReply::Member(self.local.clone()),
+            MembersRequest::Heartbeat(heartbeat) => {
                 let wants_announcement = self.apply_heartbeat(now, host, heartbeat);
                 let heartbeat = self.heartbeat_for(host, wants_announcement);
                 MembersReply::Heartbeat(Heartbeat { host: self.local.host.clone(), ..heartbeat })
             }
-            MembersAsk::Sync(known) => MembersReply::Updates(self.updates_missing_from(&known)),
-            MembersAsk::IndirectProbe(_) => MembersReply::Reached(false),
-            MembersAsk::HostLeaving(_) => MembersReply::Ack,
+            MembersRequest::Sync(known) => MembersReply::Updates(self.updates_missing_from(&known)),
+            MembersRequest::IndirectProbe(_) => MembersReply::Reached(false),
+            MembersRequest::HostLeaving(_) => MembersReply::Ack,
         }
     }
 
@@ -452,7 +452,12 @@
         Stamp { incarnation: self.local.incarnation, sequence: self.sequence }
     }
 
-    fn send(&mut self, to: SocketAddr, ask: MembersAsk, in_flight: InFlight) -> OutboundMessage {
+    fn send(
+        &mut self,
+        to: SocketAddr,
+        ask: MembersRequest,
+        in_flight: InFlight,
+    ) -> OutboundMessage {
         self.next_token += 1;
         self.in_flight.insert(self.next_token, in_flight);
         OutboundMessage { to, token: self.next_token, ask }
@@ -518,6 +523,6 @@
                 dead[chosen].0
             }
         };
-        Some(self.send(to, MembersAsk::Heartbeat(heartbeat), InFlight::Announcement))
+        Some(self.send(to, MembersRequest::Heartbeat(heartbeat), InFlight::Announcement))
     }
 }
--- a/core/src/membership/failure_detector.rs
+++ b/core/src/membership/failure_detector.rs
@@ -18,7 +18,7 @@
 use crate::members::Health;
 use crate::members::Member;
 use crate::members::MemberUpdate;
-use crate::members::MembersAsk;
+use crate::members::MembersRequest;
 use crate::members::Stamp;
 use crate::time::Time;
 
@@ -188,7 +188,7 @@
             return self.suspect(now, host, stamp).into_iter().collect();
         }
         self.indirect_probes.insert(host.clone(), IndirectProbes { remaining: probers.len() });
-        let ask = MembersAsk::IndirectProbe(address);
+        let ask = MembersRequest::IndirectProbe(address);
         let sends = probers.into_iter().map(|to| {
             let in_flight = InFlight::IndirectProbe { host: host.clone(), stamp };
             self.send(to, ask.clone(), in_flight)
--- a/core/src/membership/gossip.rs
+++ b/core/src/membership/gossip.rs
@@ -22,7 +22,7 @@
 use crate::members::Heartbeat;
 use crate::members::Member;
 use crate::members::MemberUpdate;
-use crate::members::MembersAsk;
+use crate::members::MembersRequest;
 use crate::members::Stamp;
 use crate::platform::HostRole;
 use crate::time::Time;
@@ -45,7 +45,7 @@
         let update_ids = self.attach_updates(&mut heartbeat, &host);
         Some(self.send(
             to,
-            MembersAsk::Heartbeat(heartbeat),
+            MembersRequest::Heartbeat(heartbeat),
             InFlight::Heartbeat { host, update_ids },
         ))
     }
@@ -88,7 +88,7 @@
     pub(super) fn announce_to(&mut self, host: &HostName) -> Option<OutboundMessage> {
         let to = self.peers.get(host)?.member.address;
         let heartbeat = self.heartbeat_for(host, true);
-        Some(self.send(to, MembersAsk::Heartbeat(heartbeat), InFlight::Announcement))
+        Some(self.send(to, MembersRequest::Heartbeat(heartbeat), InFlight::Announcement))
     }
 
     pub(super) fn base_heartbeat(&self) -> Heartbeat {
@@ -243,7 +243,7 @@
         let to = peer.member.address;
         let known =
             self.peers.values().filter(|peer| !peer.is_gone()).map(Peer::fingerprint).collect();
-        Some(self.send(to, MembersAsk::Sync(known), InFlight::Sync))
+        Some(self.send(to, MembersRequest::Sync(known), InFlight::Sync))
     }
 
     /// Updates that a process with the given member fingerprints lacks.
--- a/core/src/wire.rs
+++ b/core/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between the processes: an [`Ask`] opens a stream, [`Reply`] frames answer it.
+//! Messages between the processes: a [`RequestMessage`] opens a stream, [`Reply`] frames answer it.
 //!
 //! Each message is a postcard value with a length prefix. It carries the configuration generation
 //! of its sender, so that a process notices on any contact that its own configuration is stale. The
@@ -11,8 +11,8 @@
 use crate::ids::Generation;
 use crate::ids::HostName;
 use crate::ids::Incarnation;
-use crate::members::MembersAsk;
 use crate::members::MembersReply;
+use crate::members::MembersRequest;
 use crate::quarantine::Crash;
 use crate::relay::RelayReply;
 use crate::relay::RelayRequest;
@@ -47,16 +47,16 @@
 
 /// The first message on a stream.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Ask {
+pub struct RequestMessage {
     /// Sender of the request.
     pub from: Sender,
     /// Body of the request.
-    pub body: AskBody,
+    pub body: RequestBody,
 }
 
-/// Body of an [`Ask`].
+/// Body of a [`RequestMessage`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum AskBody {
+pub enum RequestBody {
     /// Sent by an entry to an agent: run a request.
     Run(RunRequest),
     /// Sent by an entry to an agent: query the outcome of a request, or prevent it from starting.
@@ -64,7 +64,7 @@
     /// Sent to an agent: read weights, or query which weights it holds.
     Weights(WeightsRequest),
     /// Heartbeats, probes and membership syncs.
-    Members(MembersAsk),
+    Members(MembersRequest),
     /// Pulls or pushes configuration.
     Spread(SpreadRequest),
     /// Sent by an entry that cannot reach the platform: forward a call to it.
@@ -73,7 +73,7 @@
     Suspect(Crash),
 }
 
-/// One message in answer to an [`Ask`].
+/// One message in answer to a [`RequestMessage`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Reply {
     /// Configuration generation that is active at the answering process.
@@ -85,19 +85,19 @@
 /// Body of a [`Reply`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ReplyBody {
-    /// One frame of the answer to [`AskBody::Run`].
+    /// One frame of the answer to [`RequestBody::Run`].
     Run(RunFrame),
-    /// Answer to [`AskBody::Void`].
+    /// Answer to [`RequestBody::Void`].
     Void(VoidReply),
-    /// Answer to [`AskBody::Weights`].
+    /// Answer to [`RequestBody::Weights`].
     Weights(WeightsReply),
-    /// Answer to [`AskBody::Members`].
+    /// Answer to [`RequestBody::Members`].
     Members(MembersReply),
-    /// Answer to [`AskBody::Spread`].
+    /// Answer to [`RequestBody::Spread`].
     Spread(SpreadReply),
-    /// Answer to [`AskBody::Relay`].
+    /// Answer to [`RequestBody::Relay`].
     Relay(RelayReply),
-    /// Answer to [`AskBody::Suspect`].
+    /// Answer to [`RequestBody::Suspect`].
     Ack,
     /// The request was refused and had no effect.
     Refused(Code),
--- a/core/tests/proof/decoders.rs
+++ b/core/tests/proof/decoders.rs
@@ -9,8 +9,8 @@
 use mastichaven_core::manifest::MAX_CHUNKS;
 use mastichaven_core::plan::Plan;
 use mastichaven_core::wire;
-use mastichaven_core::wire::Ask;
 use mastichaven_core::wire::Reply;
+use mastichaven_core::wire::RequestMessage;
 use proptest::collection::vec;
 use proptest::prelude::Just;
 use proptest::prelude::ProptestConfig;
@@ -25,13 +25,15 @@
 
 use crate::corpus;
 
-/// Bytes before the tag of the body of an [`Ask`]: an empty host, incarnation 0 and generation 0.
+/// Bytes before the tag of the body of a [`RequestMessage`]: an empty host, incarnation 0 and generation
+/// 0.
 const ASK_HEADER_LEN: usize = 3;
 
 /// Bytes before the tag of the body of a [`Reply`]: generation 0.
 const REPLY_HEADER_LEN: usize = 1;
 
-static ASKS: LazyLock<Vec<Vec<u8>>> = LazyLock::new(|| corpus::encoded::<Ask>(ASK_HEADER_LEN));
+static ASKS: LazyLock<Vec<Vec<u8>>> =
+    LazyLock::new(|| corpus::encoded::<RequestMessage>(ASK_HEADER_LEN));
 
 static REPLIES: LazyLock<Vec<Vec<u8>>> =
     LazyLock::new(|| corpus::encoded::<Reply>(REPLY_HEADER_LEN));
@@ -102,7 +104,7 @@
     /// and fail all requests on the host.
     #[test]
     fn decode_arbitrary_bytes(bytes in vec(any::<u8>(), 0..2_000)) {
-        assert_bounded::<Ask>(&bytes);
+        assert_bounded::<RequestMessage>(&bytes);
         assert_bounded::<Reply>(&bytes);
     }
 
@@ -116,7 +118,7 @@
             if !ask.is_empty() { damage(&mut ask, at, kind); }
             if !reply.is_empty() { damage(&mut reply, at, kind); }
         }
-        assert_bounded::<Ask>(&ask);
+        assert_bounded::<RequestMessage>(&ask);
         assert_bounded::<Reply>(&reply);
     }
 
--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -34,8 +34,8 @@
 use mastichaven_core::share::EntryShares;
 use mastichaven_core::swarm::PeerLocation;
 use mastichaven_core::swarm::Strategy;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use mastichaven_core::wire::Sender;
 use serde_json::Value;
 use serde_json::json;
@@ -149,13 +149,13 @@
         }
     }
 
-    fn ask(&self, body: AskBody) -> Ask {
+    fn ask(&self, body: RequestBody) -> RequestMessage {
         let from = Sender {
             host: self.settings.place.host.clone(),
             incarnation: self.incarnation,
             generation: self.documents.in_force().generation,
         };
-        Ask { from, body }
+        RequestMessage { from, body }
     }
 
     /// The model that a plan wants on this host, with the plan and its revision. A host that stands
@@ -358,7 +358,7 @@
         Shared::member(self)
     }
 
-    fn ask(&self, body: AskBody) -> Ask {
+    fn ask(&self, body: RequestBody) -> RequestMessage {
         Shared::ask(self, body)
     }
 
--- a/node/src/agent/asks.rs
+++ b/node/src/agent/asks.rs
@@ -5,9 +5,9 @@
 
 use mastichaven_core::run::VoidReply;
 use mastichaven_core::run::VoidRequest;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
 
 use super::Shared;
 use super::run;
@@ -27,19 +27,22 @@
 
 fn answer(shared: &Arc<Shared>, incoming: Incoming) {
     match incoming.ask.body {
-        AskBody::Weights(_) => return shared.weights.serve(incoming),
-        AskBody::Members(_) | AskBody::Spread(_) => return shared.control.take(incoming),
-        AskBody::Run(_) | AskBody::Void(_) | AskBody::Relay(_) | AskBody::Suspect(_) => {}
+        RequestBody::Weights(_) => return shared.weights.serve(incoming),
+        RequestBody::Members(_) | RequestBody::Spread(_) => return shared.control.take(incoming),
+        RequestBody::Run(_)
+        | RequestBody::Void(_)
+        | RequestBody::Relay(_)
+        | RequestBody::Suspect(_) => {}
     }
     let Incoming { ask, replies, .. } = incoming;
     let body = match ask.body {
-        AskBody::Run(ask) => return run::offer(shared, ask, replies),
-        AskBody::Void(ask) => ReplyBody::Void(void(shared, &ask)),
-        AskBody::Weights(_)
-        | AskBody::Members(_)
-        | AskBody::Spread(_)
-        | AskBody::Relay(_)
-        | AskBody::Suspect(_) => ReplyBody::Refused(mastichaven_core::Code::WrongRole),
+        RequestBody::Run(ask) => return run::offer(shared, ask, replies),
+        RequestBody::Void(ask) => ReplyBody::Void(void(shared, &ask)),
+        RequestBody::Weights(_)
+        | RequestBody::Members(_)
+        | RequestBody::Spread(_)
+        | RequestBody::Relay(_)
+        | RequestBody::Suspect(_) => ReplyBody::Refused(mastichaven_core::Code::WrongRole),
     };
     let generation = shared.documents.in_force().generation;
     let _ = replies.send(Reply { generation, body });
--- a/node/src/agent/engine_watch.rs
+++ b/node/src/agent/engine_watch.rs
@@ -14,8 +14,8 @@
 use mastichaven_core::ids::HostName;
 use mastichaven_core::ids::ModelName;
 use mastichaven_core::ids::StartId;
-use mastichaven_core::members::MembersAsk;
 use mastichaven_core::members::MembersReply;
+use mastichaven_core::members::MembersRequest;
 use mastichaven_core::members::Serving;
 use mastichaven_core::orders::Backoff;
 use mastichaven_core::orders::Fence;
@@ -24,8 +24,8 @@
 use mastichaven_core::orders::Wanted;
 use mastichaven_core::orders::may_release;
 use mastichaven_core::plan::Plan;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
 use slog::info;
 use slog::warn;
 
@@ -229,7 +229,7 @@
             let Some(address) = shared.address_of(host) else {
                 return false;
             };
-            let ask = shared.ask(AskBody::Members(MembersAsk::Probe));
+            let ask = shared.ask(RequestBody::Members(MembersRequest::Probe));
             let reply = shared.transport.ask_one(address, &ask, PROBE_TIMEOUT);
             matches!(
                 reply.map(|reply| reply.body),
--- a/node/src/agent/pull.rs
+++ b/node/src/agent/pull.rs
@@ -13,14 +13,14 @@
 use mastichaven_core::ids::ModelName;
 use mastichaven_core::ids::ZoneName;
 use mastichaven_core::members::Member;
-use mastichaven_core::members::MembersAsk;
+use mastichaven_core::members::MembersRequest;
 use mastichaven_core::members::Serving;
 use mastichaven_core::placement::takeover_version;
 use mastichaven_core::plan::Plan;
 use mastichaven_core::platform::HostRole;
 use mastichaven_core::platform::ListedHost;
 use mastichaven_core::swarm::PeerLocation;
-use mastichaven_core::wire::AskBody;
+use mastichaven_core::wire::RequestBody;
 
 use super::Shared;
 use super::TICK;
@@ -205,7 +205,7 @@
     let replicas = plan.replicas.iter().map(|replica| &replica.host);
     let rivals = plan.candidates.iter().filter(|host| in_my_zone(host)).take(PROBING_CANDIDATES);
     let hosts = replicas.filter(|host| in_my_zone(host)).chain(rivals);
-    let ask = shared.ask(AskBody::Members(MembersAsk::Probe));
+    let ask = shared.ask(RequestBody::Members(MembersRequest::Probe));
     let calls: Vec<_> = hosts
         .filter(|host| **host != shared.settings.place.host)
         .filter_map(|host| Some((host, shared.transport.call(shared.address_of(host)?, &ask))))
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -26,8 +26,8 @@
 use mastichaven_core::ids::Generation;
 use mastichaven_core::ids::HostName;
 use mastichaven_core::members::Member;
-use mastichaven_core::members::MembersAsk;
 use mastichaven_core::members::MembersReply;
+use mastichaven_core::members::MembersRequest;
 use mastichaven_core::membership::GossipConfig;
 use mastichaven_core::membership::Membership;
 use mastichaven_core::membership::OutboundMessage;
@@ -39,10 +39,10 @@
 use mastichaven_core::spread::SpreadRequest;
 use mastichaven_core::spread::Survey;
 use mastichaven_core::spread::Update;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use slog::info;
 use slog::warn;
 use smol_str::SmolStr;
@@ -99,7 +99,7 @@
     fn member(&self) -> Member;
 
     /// A message from it.
-    fn ask(&self, body: AskBody) -> Ask;
+    fn ask(&self, body: RequestBody) -> RequestMessage;
 
     /// What it has in force.
     fn documents(&self) -> &Documents;
@@ -361,7 +361,7 @@
         for OutboundMessage { to, token, ask } in sends {
             let tx = self.node.control().tx.clone();
             let call =
-                self.call(to, AskBody::Members(ask), GossipConfig::default().heartbeat_timeout);
+                self.call(to, RequestBody::Members(ask), GossipConfig::default().heartbeat_timeout);
             tokio::spawn(async move {
                 let reply = call.await.ok();
                 let _ = tx.send_async(Event::Answered { to, token, reply }).await;
@@ -373,7 +373,7 @@
     fn call(
         &self,
         to: SocketAddr,
-        body: AskBody,
+        body: RequestBody,
         timeout: Duration,
     ) -> impl Future<Output = Result<Reply>> + std::marker::Send + 'static {
         let mut call = self.node.transport().call(to, &self.node.ask(body));
@@ -410,21 +410,21 @@
             self.pull(address, self.generation());
         }
         let body = match ask.body {
-            AskBody::Members(MembersAsk::IndirectProbe(address)) => {
+            RequestBody::Members(MembersRequest::IndirectProbe(address)) => {
                 return self.probe_for(address, replies);
             }
-            AskBody::Members(MembersAsk::HostLeaving(leaves)) => {
+            RequestBody::Members(MembersRequest::HostLeaving(leaves)) => {
                 if peer.role == Role::Entry {
                     self.node.host_leaves(leaves);
                 }
                 ReplyBody::Members(MembersReply::Ack)
             }
-            AskBody::Members(ask) => {
+            RequestBody::Members(ask) => {
                 let now = self.now();
                 ReplyBody::Members(self.membership.on_ask(now, &from, ask))
             }
-            AskBody::Spread(SpreadRequest::Survey) => return self.survey(replies),
-            AskBody::Spread(ask) => ReplyBody::Spread(self.take_spread(&from, ask)),
+            RequestBody::Spread(SpreadRequest::Survey) => return self.survey(replies),
+            RequestBody::Spread(ask) => ReplyBody::Spread(self.take_spread(&from, ask)),
             _ => ReplyBody::Refused(Code::WrongRole),
         };
         let _ = replies.send(Reply { generation: self.generation(), body });
@@ -496,7 +496,7 @@
         self.pulling = true;
         let docs = self.node.documents().revisions();
         let ask = SpreadRequest::NewerThan { generation, docs };
-        let call = self.call(from, AskBody::Spread(ask), PULL_TIMEOUT);
+        let call = self.call(from, RequestBody::Spread(ask), PULL_TIMEOUT);
         let tx = self.node.control().tx.clone();
         tokio::spawn(async move {
             let event = match call.await.map(|reply| reply.body) {
@@ -556,7 +556,7 @@
                     return;
                 }
                 let asked = wanted.iter().take(MAX_PARTS).copied().collect();
-                let ask = node.ask(AskBody::Spread(SpreadRequest::Parts(asked)));
+                let ask = node.ask(RequestBody::Spread(SpreadRequest::Parts(asked)));
                 let mut call = node.transport().call(from, &ask);
                 let reply = tokio::time::timeout(PULL_TIMEOUT, call.next()).await;
                 let Ok(Some(Ok(Reply { body, .. }))) = reply else {
@@ -611,7 +611,7 @@
             return;
         }
         let ask = SpreadRequest::Push(Update::clone(update));
-        let call = self.call(*to, AskBody::Spread(ask), PUSH_TIMEOUT);
+        let call = self.call(*to, RequestBody::Spread(ask), PUSH_TIMEOUT);
         let (tx, update) = (self.node.control().tx.clone(), update.clone());
         tokio::spawn(async move {
             let taken = matches!(call.await, Ok(Reply { body: ReplyBody::Spread(_), .. }));
@@ -622,7 +622,7 @@
     }
 
     fn probe_for(&self, address: SocketAddr, replies: ReplySink) {
-        let call = self.call(address, AskBody::Members(MembersAsk::Probe), PROBE_TIMEOUT);
+        let call = self.call(address, RequestBody::Members(MembersRequest::Probe), PROBE_TIMEOUT);
         let generation = self.generation();
         tokio::spawn(async move {
             let reached = call.await.is_ok();
@@ -636,7 +636,7 @@
         let children = ring::tree_children(self.rank, self.tree.len());
         let calls: Vec<_> = children
             .map(|child| {
-                let body = AskBody::Spread(SpreadRequest::Survey);
+                let body = RequestBody::Spread(SpreadRequest::Survey);
                 tokio::spawn(self.call(self.tree[child].1, body, SURVEY_TIMEOUT))
             })
             .collect();
@@ -660,7 +660,9 @@
         let sends = self.membership.leave();
         let calls: Vec<_> = sends
             .into_iter()
-            .map(|send| tokio::spawn(self.call(send.to, AskBody::Members(send.ask), LEAVE_TIMEOUT)))
+            .map(|send| {
+                tokio::spawn(self.call(send.to, RequestBody::Members(send.ask), LEAVE_TIMEOUT))
+            })
             .collect();
         for call in calls {
             let _ = call.await;
--- a/node/src/entry.rs
+++ b/node/src/entry.rs
@@ -28,8 +28,8 @@
 use mastichaven_core::members::Serving;
 use mastichaven_core::platform::HostRole;
 use mastichaven_core::run::Load;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use mastichaven_core::wire::Sender;
 use serde_json::Value;
 use serde_json::json;
@@ -107,13 +107,13 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    pub(crate) fn ask(&self, body: AskBody) -> Ask {
+    pub(crate) fn ask(&self, body: RequestBody) -> RequestMessage {
         let from = Sender {
             host: self.settings.place.host.clone(),
             incarnation: self.incarnation,
             generation: self.documents.in_force().generation,
         };
-        Ask { from, body }
+        RequestMessage { from, body }
     }
 
     /// Names a new attempt of this life.
@@ -284,7 +284,7 @@
         Shared::member(self)
     }
 
-    fn ask(&self, body: AskBody) -> Ask {
+    fn ask(&self, body: RequestBody) -> RequestMessage {
         Shared::ask(self, body)
     }
 
--- a/node/src/entry/asks.rs
+++ b/node/src/entry/asks.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use mastichaven_core::Code;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
 
 use super::Shared;
 use crate::transport::Incoming;
@@ -24,14 +24,14 @@
 
 fn answer(shared: &Shared, incoming: Incoming) {
     match incoming.ask.body {
-        AskBody::Members(_) | AskBody::Spread(_) => shared.control.take(incoming),
-        AskBody::Relay(ask) => shared.claims.relay(ask, incoming.replies),
-        AskBody::Suspect(crash) => {
+        RequestBody::Members(_) | RequestBody::Spread(_) => shared.control.take(incoming),
+        RequestBody::Relay(ask) => shared.claims.relay(ask, incoming.replies),
+        RequestBody::Suspect(crash) => {
             shared.suspects.told(shared, crash);
             let generation = shared.documents.generation();
             let _ = incoming.replies.send(Reply { generation, body: ReplyBody::Ack });
         }
-        AskBody::Run(_) | AskBody::Void(_) | AskBody::Weights(_) => {
+        RequestBody::Run(_) | RequestBody::Void(_) | RequestBody::Weights(_) => {
             let generation = shared.documents.generation();
             let body = ReplyBody::Refused(Code::WrongRole);
             let _ = incoming.replies.send(Reply { generation, body });
--- a/node/src/entry/claims.rs
+++ b/node/src/entry/claims.rs
@@ -30,9 +30,9 @@
 use mastichaven_core::relay::RelayRequest;
 use mastichaven_core::run::FullResponse;
 use mastichaven_core::run::VoidReply;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
 use tokio::sync::oneshot;
 
 use super::Shared;
@@ -208,7 +208,7 @@
     entries.retain(|m| m.role == HostRole::Entry && m.host != me.host && !m.leaving);
     entries.sort_by_key(|m| m.zone == me.zone);
     for entry in entries.iter().take(MAX_RELAYS) {
-        let ask = shared.ask(AskBody::Relay(ask.clone()));
+        let ask = shared.ask(RequestBody::Relay(ask.clone()));
         let reply = shared.transport.ask_one(entry.address, &ask, RELAY_TIMEOUT);
         match reply.map(|reply| reply.body) {
             Ok(ReplyBody::Relay(RelayReply::Unavailable) | ReplyBody::Refused(_))
--- a/node/src/entry/dispatch.rs
+++ b/node/src/entry/dispatch.rs
@@ -19,8 +19,8 @@
 use mastichaven_core::run::VoidRequest;
 use mastichaven_core::stream::FrameContent;
 use mastichaven_core::stream::FrameSequencer;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
 use smol_str::SmolStr;
 use tokio::time::timeout;
 
@@ -107,7 +107,7 @@
     let wait = if parsed.idempotent { left.min(first_byte) } else { left };
     shared.telemetry.count(Counter::AttemptsSent);
     parsed.sent.add();
-    let call = shared.transport.call(lease.to.address, &shared.ask(AskBody::Run(ask)));
+    let call = shared.transport.call(lease.to.address, &shared.ask(RequestBody::Run(ask)));
     let order = FrameSequencer::new(attempt);
     let (status, content_type) = (0, SmolStr::default());
     let mut opening = Opened { status, content_type, call, order, patience, lease, request, alone };
@@ -267,7 +267,7 @@
 /// will. `None` when the agent cannot be reached.
 pub(super) async fn void(shared: &Shared, to: &Dispatch) -> Option<VoidReply> {
     let ask = VoidRequest { request: to.request, incarnation: to.incarnation };
-    let mut call = shared.transport.call(to.address, &shared.ask(AskBody::Void(ask)));
+    let mut call = shared.transport.call(to.address, &shared.ask(RequestBody::Void(ask)));
     match timeout(VOID_TIMEOUT, call.next()).await {
         Ok(Some(Ok(reply))) => match reply.body {
             ReplyBody::Void(reply) => Some(reply),
--- a/node/src/entry/suspects.rs
+++ b/node/src/entry/suspects.rs
@@ -9,7 +9,7 @@
 use mastichaven_core::quarantine::Crash;
 use mastichaven_core::quarantine::Quarantine;
 use mastichaven_core::quarantine::RunPolicy;
-use mastichaven_core::wire::AskBody;
+use mastichaven_core::wire::RequestBody;
 use slog::warn;
 
 use super::Shared;
@@ -57,7 +57,8 @@
         if member.role != HostRole::Entry || member.host == shared.settings.place.host {
             continue;
         }
-        let mut call = shared.transport.call(member.address, &shared.ask(AskBody::Suspect(crash)));
+        let mut call =
+            shared.transport.call(member.address, &shared.ask(RequestBody::Suspect(crash)));
         tokio::spawn(async move {
             let _ = tokio::time::timeout(TELL_TIMEOUT, call.next()).await;
         });
--- a/node/src/platform_watch.rs
+++ b/node/src/platform_watch.rs
@@ -18,7 +18,7 @@
 use mastichaven_core::ids::HostName;
 use mastichaven_core::ids::Revision;
 use mastichaven_core::members::Member;
-use mastichaven_core::members::MembersAsk;
+use mastichaven_core::members::MembersRequest;
 use mastichaven_core::members::Serving;
 use mastichaven_core::platform;
 use mastichaven_core::platform::HostRole;
@@ -31,8 +31,8 @@
 use mastichaven_core::spread::SpreadReply;
 use mastichaven_core::spread::SpreadRequest;
 use mastichaven_core::spread::Survey;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
 use rand::RngExt;
 use smol_str::SmolStr;
 
@@ -240,7 +240,8 @@
             if listed.leaving == self.told_leaving.contains(&listed.name) {
                 continue;
             }
-            let ask = self.node.ask(AskBody::Members(MembersAsk::HostLeaving(listed.leaving)));
+            let ask =
+                self.node.ask(RequestBody::Members(MembersRequest::HostLeaving(listed.leaving)));
             let noted = self.node.transport().ask_one(listed.address, &ask, NOTE_TIMEOUT).is_ok();
             if noted && listed.leaving {
                 self.told_leaving.insert(listed.name.clone());
@@ -276,7 +277,7 @@
     }
 
     fn survey(&self, me: &Member) -> Survey {
-        let ask = self.node.ask(AskBody::Spread(SpreadRequest::Survey));
+        let ask = self.node.ask(RequestBody::Spread(SpreadRequest::Survey));
         let reply = self.node.transport().ask_one(me.address, &ask, SURVEY_TIMEOUT);
         match reply.map(|reply| reply.body) {
             Ok(ReplyBody::Spread(SpreadReply::Survey(survey))) => survey,
--- a/node/src/tls.rs
+++ b/node/src/tls.rs
@@ -12,7 +12,7 @@
 
 use mastichaven_core::Code;
 use mastichaven_core::ids::HostName;
-use mastichaven_core::wire::AskBody;
+use mastichaven_core::wire::RequestBody;
 use quinn::crypto::rustls::QuicClientConfig;
 use quinn::crypto::rustls::QuicServerConfig;
 use rcgen::BasicConstraints;
@@ -104,13 +104,14 @@
     ///
     /// Work and platform calls come from entries alone: a stolen agent certificate must not be
     /// enough to spend another agent's endpoint or to write to the platform.
-    pub fn may_ask(self, body: &AskBody) -> bool {
+    pub fn may_ask(self, body: &RequestBody) -> bool {
         match body {
-            AskBody::Run(_) | AskBody::Void(_) | AskBody::Relay(_) | AskBody::Suspect(_) => {
-                self == Role::Entry
-            }
-            AskBody::Weights(_) => self != Role::Ctl,
-            AskBody::Members(_) | AskBody::Spread(_) => true,
+            RequestBody::Run(_)
+            | RequestBody::Void(_)
+            | RequestBody::Relay(_)
+            | RequestBody::Suspect(_) => self == Role::Entry,
+            RequestBody::Weights(_) => self != Role::Ctl,
+            RequestBody::Members(_) | RequestBody::Spread(_) => true,
         }
     }
 
@@ -118,10 +119,12 @@
     ///
     /// A certificate proves a role and not an address, and addresses are hearsay. Without this, an
     /// agent's certificate would be enough to answer for the platform.
-    pub fn answerer(body: &AskBody) -> Option<Role> {
+    pub fn answerer(body: &RequestBody) -> Option<Role> {
         match body {
-            AskBody::Run(_) | AskBody::Void(_) | AskBody::Weights(_) => Some(Role::Agent),
-            AskBody::Relay(_) => Some(Role::Entry),
+            RequestBody::Run(_) | RequestBody::Void(_) | RequestBody::Weights(_) => {
+                Some(Role::Agent)
+            }
+            RequestBody::Relay(_) => Some(Role::Entry),
             _ => None,
         }
     }
--- a/node/src/transport.rs
+++ b/node/src/transport.rs
@@ -15,10 +15,10 @@
 
 use mastichaven_core::Code;
 use mastichaven_core::wire;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use quinn::Connection;
 use quinn::Endpoint;
 use quinn::RecvStream;
@@ -57,7 +57,7 @@
     /// Who asks, by certificate.
     pub peer: Identity,
     /// What it asks.
-    pub ask: Ask,
+    pub ask: RequestMessage,
     /// Where replies go; dropping it ends the stream.
     pub replies: ReplySink,
 }
@@ -151,9 +151,9 @@
 }
 
 impl Use {
-    fn of(body: &AskBody) -> Use {
+    fn of(body: &RequestBody) -> Use {
         match body {
-            AskBody::Members(_) | AskBody::Spread(_) => Use::Control,
+            RequestBody::Members(_) | RequestBody::Spread(_) => Use::Control,
             _ => Use::Requests,
         }
     }
@@ -280,7 +280,7 @@
     ///
     /// [`Code::Unreachable`] and [`Code::Busy`] prove that no byte left; [`Code::PeerLost`] means
     /// that the ask may have arrived.
-    pub fn call(&self, to: SocketAddr, ask: &Ask) -> Call {
+    pub fn call(&self, to: SocketAddr, ask: &RequestMessage) -> Call {
         let (replies, rx) = flume::bounded(REPLY_RING);
         let (cancel, cancelled) = oneshot::channel();
         let (purpose, answerer) = (Use::of(&ask.body), Role::answerer(&ask.body));
@@ -293,7 +293,12 @@
     }
 
     /// Sends `ask` and waits up to `timeout` for its only reply.
-    pub fn ask_one(&self, to: SocketAddr, ask: &Ask, timeout: Duration) -> Result<Reply> {
+    pub fn ask_one(
+        &self,
+        to: SocketAddr,
+        ask: &RequestMessage,
+        timeout: Duration,
+    ) -> Result<Reply> {
         match self.call(to, ask).next_timeout(timeout) {
             Some(Ok(reply)) => Ok(reply),
             Some(Err(code)) => Err(code),
@@ -506,7 +511,7 @@
     mut rx: RecvStream,
     incoming: flume::Sender<Incoming>,
 ) {
-    let read = tokio::time::timeout(ASK_TIMEOUT, read_message::<Ask>(&mut rx)).await;
+    let read = tokio::time::timeout(ASK_TIMEOUT, read_message::<RequestMessage>(&mut rx)).await;
     let ask = match read {
         Ok(Ok(Some(ask))) => ask,
         Ok(Err(code)) => return refuse(&mut tx, code).await,
--- a/node/src/weights/pull.rs
+++ b/node/src/weights/pull.rs
@@ -22,9 +22,9 @@
 use mastichaven_core::weights::Have;
 use mastichaven_core::weights::WeightsReply;
 use mastichaven_core::weights::WeightsRequest;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -239,7 +239,10 @@
     }
 
     fn ask_peer(&self, request: Request, address: SocketAddr) {
-        let ask = Ask { from: (self.setup.sender)(), body: AskBody::Weights(ask_of(&request)) };
+        let ask = RequestMessage {
+            from: (self.setup.sender)(),
+            body: RequestBody::Weights(ask_of(&request)),
+        };
         let transport = self.setup.transport.clone();
         let store = self.setup.store.clone();
         let events = self.events.clone();
@@ -293,7 +296,7 @@
 async fn exchange(
     transport: &Transport,
     address: SocketAddr,
-    ask: &Ask,
+    ask: &RequestMessage,
     request: &Request,
     store: &Store,
 ) -> (RequestOutcome, Option<Have>, Option<Code>) {
--- a/node/src/weights/serve.rs
+++ b/node/src/weights/serve.rs
@@ -14,9 +14,9 @@
 use mastichaven_core::weights::MAX_LONG_POLL_MS;
 use mastichaven_core::weights::WeightsReply;
 use mastichaven_core::weights::WeightsRequest;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
 
 use super::link::Link;
 use super::store::Store;
@@ -133,7 +133,7 @@
 
     fn ask(&mut self, incoming: Incoming) {
         let Incoming { peer, ask, replies } = incoming;
-        let AskBody::Weights(ask) = ask.body else {
+        let RequestBody::Weights(ask) = ask.body else {
             return;
         };
         let (wanted, long_poll_ms) = match ask {
--- a/node/tests/requests/silence.rs
+++ b/node/tests/requests/silence.rs
@@ -7,10 +7,10 @@
 use mastichaven_core::ids::Incarnation;
 use mastichaven_core::ids::RequestId;
 use mastichaven_core::run::VoidRequest;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use mastichaven_core::wire::Sender;
 use mastichaven_node::tls::DevelopmentCa;
 use mastichaven_node::tls::Role;
@@ -23,7 +23,7 @@
 struct Pair {
     asker: Transport,
     way: DatagramDoor,
-    ask: Ask,
+    ask: RequestMessage,
 }
 
 fn pair(delay: Duration) -> Pair {
@@ -48,7 +48,7 @@
     let from = Sender { host: "asker".into(), ..Sender::default() };
     // Control has connections of its own, on which each ask has a short timeout instead.
     let void = VoidRequest { request: RequestId::default(), incarnation: Incarnation::default() };
-    Pair { asker, way, ask: Ask { from, body: AskBody::Void(void) } }
+    Pair { asker, way, ask: RequestMessage { from, body: RequestBody::Void(void) } }
 }
 
 // Something between two processes forgets the connection that is open between them: what is sent
--- a/node/tests/shell/tls.rs
+++ b/node/tests/shell/tls.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use mastichaven_core::Code;
-use mastichaven_core::members::MembersAsk;
+use mastichaven_core::members::MembersRequest;
 use mastichaven_core::relay::RelayReply;
 use mastichaven_core::relay::RelayRequest;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use mastichaven_core::wire::Sender;
 use mastichaven_node::tls::DevelopmentCa;
 use mastichaven_node::tls::Material;
@@ -42,13 +42,18 @@
     transport
 }
 
-fn ask(transport: &Transport, to: SocketAddr, host: &str, body: AskBody) -> Result<Reply, Code> {
+fn ask(
+    transport: &Transport,
+    to: SocketAddr,
+    host: &str,
+    body: RequestBody,
+) -> Result<Reply, Code> {
     let from = Sender { host: host.into(), ..Sender::default() };
-    transport.ask_one(to, &Ask { from, body }, LIMIT)
+    transport.ask_one(to, &RequestMessage { from, body }, LIMIT)
 }
 
-fn relay() -> AskBody {
-    AskBody::Relay(RelayRequest::Get("config/accepted".into()))
+fn relay() -> RequestBody {
+    RequestBody::Relay(RelayRequest::Get("config/accepted".into()))
 }
 
 fn refused(reply: Result<Reply, Code>) -> bool {
@@ -109,7 +114,7 @@
     assert!(refused(ask(&agent, server.local_addr(), "agent-1", relay())));
     let tool = transport(&material(&ca, "desk", Role::Ctl, 1));
     assert!(refused(ask(&tool, server.local_addr(), "desk", relay())));
-    let probe = AskBody::Members(MembersAsk::Probe);
+    let probe = RequestBody::Members(MembersRequest::Probe);
     assert!(!refused(ask(&agent, server.local_addr(), "agent-1", probe)));
 }
 
