--- a/bench/src/member_net.rs
+++ b/bench/src/member_net.rs
@@ -62,7 +62,7 @@
 }
 
 enum Event {
-    Ask { from: usize, to: usize, token: u64, ask: MembersRequest },
+    Request { from: usize, to: usize, token: u64, request: MembersRequest },
     Reply { to: usize, token: u64, reply: MembersReply },
     Late { to: usize, token: u64 },
     Helped { helper: usize, asker: usize, token: u64, reached: bool },
@@ -217,15 +217,15 @@
     }
 
     fn send_all(&mut self, from: usize, sends: Vec<OutboundMessage>) {
-        for OutboundMessage { to, token, ask } in sends {
-            self.nodes[from].sent += self.ask_bytes(from, &ask);
+        for OutboundMessage { to, token, request } in sends {
+            self.nodes[from].sent += self.request_bytes(from, &request);
             let late = self.now + self.config.heartbeat_timeout;
             self.push(late, Event::Late { to: from, token });
             let Some(&to) = self.by_address.get(&to) else {
                 continue;
             };
             if let Some(transit) = self.transit(from, to) {
-                self.push(self.now + transit, Event::Ask { from, to, token, ask });
+                self.push(self.now + transit, Event::Request { from, to, token, request });
             }
         }
     }
@@ -243,7 +243,7 @@
 
     fn take(&mut self, event: Event) {
         let receiver = match &event {
-            Event::Ask { to, .. } | Event::Reply { to, .. } | Event::Late { to, .. } => *to,
+            Event::Request { to, .. } | Event::Reply { to, .. } | Event::Late { to, .. } => *to,
             Event::Helped { helper, .. } => *helper,
         };
         if !self.nodes[receiver].up {
@@ -255,7 +255,9 @@
             return self.push(paused_until, event);
         }
         match event {
-            Event::Ask { from, to, token, ask } => self.take_ask(from, to, token, ask),
+            Event::Request { from, to, token, request } => {
+                self.handle_request(from, to, token, request)
+            }
             Event::Reply { to, token, reply } => self.answer(to, token, Some(reply)),
             Event::Late { to, token } => self.answer(to, token, None),
             Event::Helped { helper, asker, token, reached } => {
@@ -264,8 +266,8 @@
         }
     }
 
-    fn take_ask(&mut self, from: usize, to: usize, token: u64, ask: MembersRequest) {
-        if let MembersRequest::IndirectProbe(address) = ask {
+    fn handle_request(&mut self, from: usize, to: usize, token: u64, request: MembersRequest) {
+        if let MembersRequest::IndirectProbe(address) = request {
             let target = self.by_address.get(&address).copied();
             let reached = target.is_some_and(|target| {
                 let runs = self.nodes[target].up && self.nodes[target].paused_until <= self.now;
@@ -277,7 +279,7 @@
             return self.push(self.now + wait, event);
         }
         let host = self.nodes[from].host.clone();
-        let reply = self.nodes[to].membership.on_ask(self.now, &host, ask);
+        let reply = self.nodes[to].membership.on_request(self.now, &host, request);
         self.reply(to, from, token, reply);
     }
 
@@ -297,11 +299,11 @@
         self.send_all(to, sends);
     }
 
-    fn ask_bytes(&self, from: usize, ask: &MembersRequest) -> u64 {
+    fn request_bytes(&self, from: usize, request: &MembersRequest) -> u64 {
         let host = self.nodes[from].host.clone();
         let from = Sender { host, ..Sender::default() };
-        let ask = RequestMessage { from, body: RequestBody::Members(ask.clone()) };
-        wire::encode(&ask).len() as u64 + MESSAGE_OVERHEAD + ACK_BYTES
+        let request = RequestMessage { from, body: RequestBody::Members(request.clone()) };
+        wire::encode(&request).len() as u64 + MESSAGE_OVERHEAD + ACK_BYTES
     }
 }
 
--- a/core/src/membership.rs
+++ b/core/src/membership.rs
@@ -128,7 +128,7 @@
     /// Correlates the answer with this message.
     pub token: u64,
     /// Body of the message.
-    pub ask: MembersRequest,
+    pub request: MembersRequest,
 }
 
 #[derive(Clone, Debug)]
@@ -381,8 +381,13 @@
 
     /// Answers a message from `host`. The caller handles [`MembersRequest::IndirectProbe`] and
     /// [`MembersRequest::HostLeaving`].
-    pub fn on_ask(&mut self, now: Time, host: &HostName, ask: MembersRequest) -> MembersReply {
-        match ask {
+    pub fn on_request(
+        &mut self,
+        now: Time,
+        host: &HostName,
+        request: MembersRequest,
+    ) -> MembersReply {
+        match request {
             MembersRequest::Probe => MembersReply::Member(self.local.clone()),
             MembersRequest::Heartbeat(heartbeat) => {
                 let wants_announcement = self.apply_heartbeat(now, host, heartbeat);
@@ -455,12 +460,12 @@
     fn send(
         &mut self,
         to: SocketAddr,
-        ask: MembersRequest,
+        request: MembersRequest,
         in_flight: InFlight,
     ) -> OutboundMessage {
         self.next_token += 1;
         self.in_flight.insert(self.next_token, in_flight);
-        OutboundMessage { to, token: self.next_token, ask }
+        OutboundMessage { to, token: self.next_token, request }
     }
 
     /// Drops pending probes and restarts suspicion timeouts if this process was paused. During a
--- a/core/src/membership/failure_detector.rs
+++ b/core/src/membership/failure_detector.rs
@@ -188,10 +188,10 @@
             return self.suspect(now, host, stamp).into_iter().collect();
         }
         self.indirect_probes.insert(host.clone(), IndirectProbes { remaining: probers.len() });
-        let ask = MembersRequest::IndirectProbe(address);
+        let request = MembersRequest::IndirectProbe(address);
         let sends = probers.into_iter().map(|to| {
             let in_flight = InFlight::IndirectProbe { host: host.clone(), stamp };
-            self.send(to, ask.clone(), in_flight)
+            self.send(to, request.clone(), in_flight)
         });
         sends.collect()
     }
--- a/core/tests/proof/decoders.rs
+++ b/core/tests/proof/decoders.rs
@@ -25,15 +25,15 @@
 
 use crate::corpus;
 
-/// Bytes before the tag of the body of a [`RequestMessage`]: an empty host, incarnation 0 and generation
-/// 0.
-const ASK_HEADER_LEN: usize = 3;
+/// Bytes before the tag of the body of a [`RequestMessage`]: an empty host, incarnation 0 and
+/// generation 0.
+const REQUEST_HEADER_LEN: usize = 3;
 
 /// Bytes before the tag of the body of a [`Reply`]: generation 0.
 const REPLY_HEADER_LEN: usize = 1;
 
-static ASKS: LazyLock<Vec<Vec<u8>>> =
-    LazyLock::new(|| corpus::encoded::<RequestMessage>(ASK_HEADER_LEN));
+static REQUESTS: LazyLock<Vec<Vec<u8>>> =
+    LazyLock::new(|| corpus::encoded::<RequestMessage>(REQUEST_HEADER_LEN));
 
 static REPLIES: LazyLock<Vec<Vec<u8>>> =
     LazyLock::new(|| corpus::encoded::<Reply>(REPLY_HEADER_LEN));
@@ -91,9 +91,9 @@
 /// Guards the tests below against a corpus that lacks kinds of messages.
 #[test]
 fn corpus_covers_every_kind() {
-    let (asks, replies) =
-        (corpus::kinds(&ASKS, ASK_HEADER_LEN), corpus::kinds(&REPLIES, REPLY_HEADER_LEN));
-    assert!(asks >= 6, "{asks} kinds of ask");
+    let (requests, replies) =
+        (corpus::kinds(&REQUESTS, REQUEST_HEADER_LEN), corpus::kinds(&REPLIES, REPLY_HEADER_LEN));
+    assert!(requests >= 6, "{requests} kinds of request");
     assert!(replies >= 7, "{replies} kinds of reply");
 }
 
@@ -112,13 +112,13 @@
     /// Gigabytes allocated for a count without data would end the process.
     #[test]
     fn decode_damaged_messages(which in any::<Index>(), damage_sequence in damage_sequence()) {
-        let mut ask = ASKS[which.index(ASKS.len())].clone();
+        let mut request = REQUESTS[which.index(REQUESTS.len())].clone();
         let mut reply = REPLIES[which.index(REPLIES.len())].clone();
         for (at, kind) in damage_sequence {
-            if !ask.is_empty() { damage(&mut ask, at, kind); }
+            if !request.is_empty() { damage(&mut request, at, kind); }
             if !reply.is_empty() { damage(&mut reply, at, kind); }
         }
-        assert_bounded::<RequestMessage>(&ask);
+        assert_bounded::<RequestMessage>(&request);
         assert_bounded::<Reply>(&reply);
     }
 
--- a/node/src/agent/asks.rs
+++ b/node/src/agent/asks.rs
@@ -26,7 +26,7 @@
 }
 
 fn answer(shared: &Arc<Shared>, incoming: Incoming) {
-    match incoming.ask.body {
+    match incoming.request.body {
         RequestBody::Weights(_) => return shared.weights.serve(incoming),
         RequestBody::Members(_) | RequestBody::Spread(_) => return shared.control.take(incoming),
         RequestBody::Run(_)
@@ -34,8 +34,8 @@
         | RequestBody::Relay(_)
         | RequestBody::Suspect(_) => {}
     }
-    let Incoming { ask, replies, .. } = incoming;
-    let body = match ask.body {
+    let Incoming { request, replies, .. } = incoming;
+    let body = match request.body {
         RequestBody::Run(ask) => return run::offer(shared, ask, replies),
         RequestBody::Void(ask) => ReplyBody::Void(void(shared, &ask)),
         RequestBody::Weights(_)
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -358,10 +358,13 @@
     }
 
     fn send_all(&self, sends: Vec<OutboundMessage>) {
-        for OutboundMessage { to, token, ask } in sends {
+        for OutboundMessage { to, token, request } in sends {
             let tx = self.node.control().tx.clone();
-            let call =
-                self.call(to, RequestBody::Members(ask), GossipConfig::default().heartbeat_timeout);
+            let call = self.call(
+                to,
+                RequestBody::Members(request),
+                GossipConfig::default().heartbeat_timeout,
+            );
             tokio::spawn(async move {
                 let reply = call.await.ok();
                 let _ = tx.send_async(Event::Answered { to, token, reply }).await;
@@ -402,14 +405,14 @@
     }
 
     fn take_ask(&mut self, incoming: Incoming) {
-        let Incoming { peer, ask, replies } = incoming;
-        let from = ask.from.host.clone();
-        if ask.from.generation > self.generation()
+        let Incoming { peer, request, replies } = incoming;
+        let from = request.from.host.clone();
+        if request.from.generation > self.generation()
             && let Some(address) = self.address_of(&from)
         {
             self.pull(address, self.generation());
         }
-        let body = match ask.body {
+        let body = match request.body {
             RequestBody::Members(MembersRequest::IndirectProbe(address)) => {
                 return self.probe_for(address, replies);
             }
@@ -419,12 +422,12 @@
                 }
                 ReplyBody::Members(MembersReply::Ack)
             }
-            RequestBody::Members(ask) => {
+            RequestBody::Members(request) => {
                 let now = self.now();
-                ReplyBody::Members(self.membership.on_ask(now, &from, ask))
+                ReplyBody::Members(self.membership.on_request(now, &from, request))
             }
             RequestBody::Spread(SpreadRequest::Survey) => return self.survey(replies),
-            RequestBody::Spread(ask) => ReplyBody::Spread(self.take_spread(&from, ask)),
+            RequestBody::Spread(request) => ReplyBody::Spread(self.take_spread(&from, request)),
             _ => ReplyBody::Refused(Code::WrongRole),
         };
         let _ = replies.send(Reply { generation: self.generation(), body });
@@ -661,7 +664,7 @@
         let calls: Vec<_> = sends
             .into_iter()
             .map(|send| {
-                tokio::spawn(self.call(send.to, RequestBody::Members(send.ask), LEAVE_TIMEOUT))
+                tokio::spawn(self.call(send.to, RequestBody::Members(send.request), LEAVE_TIMEOUT))
             })
             .collect();
         for call in calls {
--- a/node/src/transport.rs
+++ b/node/src/transport.rs
@@ -57,7 +57,7 @@
     /// Who asks, by certificate.
     pub peer: Identity,
     /// What it asks.
-    pub ask: RequestMessage,
+    pub request: RequestMessage,
     /// Where replies go; dropping it ends the stream.
     pub replies: ReplySink,
 }
@@ -512,17 +512,17 @@
     incoming: flume::Sender<Incoming>,
 ) {
     let read = tokio::time::timeout(ASK_TIMEOUT, read_message::<RequestMessage>(&mut rx)).await;
-    let ask = match read {
-        Ok(Ok(Some(ask))) => ask,
+    let request = match read {
+        Ok(Ok(Some(request))) => request,
         Ok(Err(code)) => return refuse(&mut tx, code).await,
         Ok(Ok(None)) | Err(_) => return,
     };
-    if !peer.role.may_ask(&ask.body) || peer.host != ask.from.host {
+    if !peer.role.may_ask(&request.body) || peer.host != request.from.host {
         return refuse(&mut tx, Code::WrongRole).await;
     }
     let (sink, replies) = ReplySink::pair();
     let cancelled = sink.cancelled.clone();
-    if incoming.try_send(Incoming { peer, ask, replies: sink }).is_err() {
+    if incoming.try_send(Incoming { peer, request, replies: sink }).is_err() {
         return refuse(&mut tx, Code::Busy).await;
     }
     let stopped = tx.stopped();
--- a/node/src/weights/serve.rs
+++ b/node/src/weights/serve.rs
@@ -132,8 +132,8 @@
     }
 
     fn ask(&mut self, incoming: Incoming) {
-        let Incoming { peer, ask, replies } = incoming;
-        let RequestBody::Weights(ask) = ask.body else {
+        let Incoming { peer, request, replies } = incoming;
+        let RequestBody::Weights(ask) = request.body else {
             return;
         };
         let (wanted, long_poll_ms) = match ask {
