--- a/node/src/entry/dispatch.rs
+++ b/node/src/entry/dispatch.rs
@@ -19,8 +19,8 @@
 use mastichaven_core::run::VoidRequest;
 use mastichaven_core::stream::FrameContent;
 use mastichaven_core::stream::FrameSequencer;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
 use smol_str::SmolStr;
 use tokio::time::timeout;
 
@@ -107,7 +107,7 @@
     let head_timeout = if parsed.idempotent { remaining.min(first_byte) } else { remaining };
     shared.telemetry.count(Counter::AttemptsSent);
     parsed.unresolved.add();
-    let call = shared.transport.call(permit.to.address, &shared.ask(AskBody::Run(run)));
+    let call = shared.transport.call(permit.to.address, &shared.ask(RequestBody::Run(run)));
     let sequencer = FrameSequencer::new(attempt);
     let (status, content_type) = (0, SmolStr::default());
     let mut response = OpenResponse {
@@ -277,7 +277,7 @@
 /// attempt that has not started is voided. Returns `None` if the agent cannot be reached.
 pub(super) async fn query_attempt(shared: &Shared, to: &Dispatch) -> Option<VoidReply> {
     let query = VoidRequest { request: to.request, incarnation: to.incarnation };
-    let mut call = shared.transport.call(to.address, &shared.ask(AskBody::Void(query)));
+    let mut call = shared.transport.call(to.address, &shared.ask(RequestBody::Void(query)));
     match timeout(QUERY_TIMEOUT, call.next()).await {
         Ok(Some(Ok(reply))) => match reply.body {
             ReplyBody::Void(reply) => Some(reply),
--- a/node/src/weights/pull.rs
+++ b/node/src/weights/pull.rs
@@ -22,9 +22,9 @@
 use mastichaven_core::weights::Have;
 use mastichaven_core::weights::WeightsReply;
 use mastichaven_core::weights::WeightsRequest;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -245,8 +245,10 @@
     }
 
     fn send_to_peer(&self, request: Request, address: SocketAddr) {
-        let ask =
-            Ask { from: (self.setup.sender)(), body: AskBody::Weights(peer_request(&request)) };
+        let ask = RequestMessage {
+            from: (self.setup.sender)(),
+            body: RequestBody::Weights(peer_request(&request)),
+        };
         let transport = self.setup.transport.clone();
         let store = self.setup.store.clone();
         let events = self.events.clone();
@@ -307,7 +309,7 @@
 async fn exchange(
     transport: &Transport,
     address: SocketAddr,
-    ask: &Ask,
+    ask: &RequestMessage,
     request: &Request,
     store: &Store,
 ) -> (RequestOutcome, Option<Have>, Option<Code>) {
--- a/node/src/weights/serve.rs
+++ b/node/src/weights/serve.rs
@@ -14,9 +14,9 @@
 use mastichaven_core::weights::MAX_LONG_POLL_MS;
 use mastichaven_core::weights::WeightsReply;
 use mastichaven_core::weights::WeightsRequest;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
 
 use super::link::Link;
 use super::store::Store;
@@ -133,8 +133,8 @@
     }
 
     fn handle_request(&mut self, incoming: Incoming) {
-        let Incoming { peer, ask, replies } = incoming;
-        let AskBody::Weights(ask) = ask.body else {
+        let Incoming { peer, request, replies } = incoming;
+        let RequestBody::Weights(ask) = request.body else {
             return;
         };
         let (object, long_poll_ms) = match ask {
--- a/node/tests/requests/connection_loss.rs
+++ b/node/tests/requests/connection_loss.rs
@@ -7,10 +7,10 @@
 use mastichaven_core::ids::Incarnation;
 use mastichaven_core::ids::RequestId;
 use mastichaven_core::run::VoidRequest;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::Reply;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use mastichaven_core::wire::Sender;
 use mastichaven_node::tls::DevelopmentCa;
 use mastichaven_node::tls::Role;
@@ -24,7 +24,7 @@
 struct Connected {
     client: Transport,
     proxy: DatagramDoor,
-    ask: Ask,
+    ask: RequestMessage,
 }
 
 fn connect(delay: Duration) -> Connected {
@@ -50,7 +50,7 @@
     // Not a control request: those use connections of their own, with a short timeout per request
     // instead.
     let void = VoidRequest { request: RequestId::default(), incarnation: Incarnation::default() };
-    Connected { client, proxy, ask: Ask { from, body: AskBody::Void(void) } }
+    Connected { client, proxy, ask: RequestMessage { from, body: RequestBody::Void(void) } }
 }
 
 // A middlebox loses the state of an open connection: its packets are dropped without notice to
