--- a/node/src/entry.rs
+++ b/node/src/entry.rs
@@ -29,8 +29,8 @@
 use mastichaven_core::members::Serving;
 use mastichaven_core::platform::HostRole;
 use mastichaven_core::run::Load;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use mastichaven_core::wire::Sender;
 use serde_json::Value;
 use serde_json::json;
@@ -108,13 +108,13 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    pub(crate) fn ask(&self, body: AskBody) -> Ask {
+    pub(crate) fn ask(&self, body: RequestBody) -> RequestMessage {
         let from = Sender {
             host: self.settings.place.host.clone(),
             incarnation: self.incarnation,
             generation: self.documents.in_force().generation,
         };
-        Ask { from, body }
+        RequestMessage { from, body }
     }
 
     /// Returns the id of a new attempt, unique within this incarnation.
@@ -292,7 +292,7 @@
         Shared::member(self)
     }
 
-    fn ask(&self, body: AskBody) -> Ask {
+    fn ask(&self, body: RequestBody) -> RequestMessage {
         Shared::ask(self, body)
     }
 
