--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -1,13 +1,14 @@
-//! The agent: the only way to its endpoint, and a peer in the weight swarm.
+//! The agent: a proxy for all requests to the endpoint of its host, and a peer in the distribution
+//! of weights.
 //!
-//! | thread | duty | file |
+//! | thread | task | file |
 //! | --- | --- | --- |
-//! | `asks` | answers what peers ask | `agent/asks.rs` |
-//! | `requests` | hands requests to the endpoint, a task a request | `agent/run.rs` |
-//! | `engine` | watches the endpoint, opens and closes the gate, gives orders | `agent/engine_watch.rs` |
-//! | `pull` | tells the weight threads what the plan wants | `agent/pull.rs` |
+//! | `asks` | handles the requests of other processes | `agent/asks.rs` |
+//! | `requests` | runs requests on the endpoint, one async task per request | `agent/run.rs` |
+//! | `engine` | polls the endpoint, switches the gate, sends orders | `agent/engine_watch.rs` |
+//! | `pull` | passes wanted versions and peers to the weight threads | `agent/pull.rs` |
 //! | `control` | membership, and configuration and plans from peers | `control.rs` |
-//! | `platform` | finds the first peer | `platform_watch.rs` |
+//! | `platform` | discovers the first peer | `platform_watch.rs` |
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -73,19 +74,19 @@
 /// Result of starting an agent.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// Requests a plain endpoint is given at once when warm, until its service's configuration says.
-const PLAIN_LIMIT: u32 = 8;
+/// Concurrency limit of a warm plain endpoint until the configuration of its service is known.
+const DEFAULT_PLAIN_CONCURRENCY: u32 = 8;
 
-/// Asks waiting for the `asks` thread; more are refused as busy.
-const ASK_RING: usize = 256;
+/// Maximum number of requests queued for the `asks` thread; more are refused as busy.
+const PEER_REQUEST_QUEUE_LEN: usize = 256;
 
-/// How long a stopping agent still refuses requests before it ends.
-const LINGER: Duration = Duration::from_millis(1_000);
+/// How long a stopping agent refuses new requests before it exits, even if it is idle.
+const LEAVE_DELAY: Duration = Duration::from_millis(1_000);
 
-/// How often the threads look for work.
-const TICK: Duration = Duration::from_millis(100);
+/// How often the threads poll for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the threads of an agent share.
+/// State shared by the threads of an agent.
 struct Shared {
     settings: AgentSettings,
     telemetry: Telemetry,
@@ -101,11 +102,11 @@
     attempts: Mutex<AttemptTable>,
     shares: Mutex<EntryShares>,
     last_crash: Mutex<(StartId, u32)>,
-    runs: flume::Sender<run::Job>,
+    jobs: flume::Sender<run::Job>,
     store: Arc<Store>,
     weights: Weights,
-    standing_in: Mutex<Option<(ModelName, Digest)>>,
-    weights_base: Mutex<String>,
+    takeover: Mutex<Option<(ModelName, Digest)>>,
+    weights_url: Mutex<String>,
     stopping: AtomicBool,
     over: AtomicBool,
     running: AtomicU32,
@@ -120,7 +121,8 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Whether it takes no new work, because it stops or its host is about to be taken away.
+    /// Whether the agent admits no new requests, because it is stopping or its host is about to be
+    /// removed.
     fn is_leaving(&self) -> bool {
         self.is_stopping() || self.host_leaves.load(Ordering::Acquire)
     }
@@ -158,9 +160,9 @@
         Ask { from, body }
     }
 
-    /// The model that a plan wants on this host, with the plan and its revision. A host that stands
-    /// in for a dead one counts as well.
-    fn wanted(&self) -> Option<(ModelName, u64, Plan)> {
+    /// The model that this host must serve, with the revision of its plan and the plan. A takeover
+    /// for a dead replica counts as well.
+    fn wanted_plan(&self) -> Option<(ModelName, u64, Plan)> {
         let in_force = self.documents.in_force();
         in_force.config.model.keys().find_map(|model| {
             let (revision, plan) = self.documents.plan(model)?;
@@ -168,15 +170,15 @@
         })
     }
 
-    /// The version that `plan` wants on this host.
+    /// The version that this host must serve under `plan`, including a takeover.
     fn wanted_version(&self, plan: &Plan) -> Option<Digest> {
         plan.version_for(&self.settings.place.host).or_else(|| {
-            let standing_in = self.standing_in.lock().expect("no holder of this lock panics");
-            standing_in.as_ref().filter(|(model, _)| *model == plan.model).map(|(_, v)| *v)
+            let takeover = self.takeover.lock().expect("no holder of this lock panics");
+            takeover.as_ref().filter(|(model, _)| *model == plan.model).map(|(_, v)| *v)
         })
     }
 
-    /// Where a member is.
+    /// Transport address of a member. `None` if the host is not a member.
     fn address_of(&self, host: &HostName) -> Option<SocketAddr> {
         let members = self.control.members();
         members.iter().find(|member| member.host == *host).map(|member| member.address)
@@ -191,15 +193,15 @@
 }
 
 impl Agent {
-    /// Binds its ports and starts its threads.
+    /// Opens the store, binds the ports and starts the threads.
     pub fn start(
         settings: AgentSettings,
         material: &Material,
         telemetry: Telemetry,
         incarnation: Incarnation,
     ) -> Result<Agent> {
-        let (tx, rx) = flume::bounded(ASK_RING);
-        let (runs, jobs) = flume::bounded(run::JOB_RING);
+        let (tx, rx) = flume::bounded(PEER_REQUEST_QUEUE_LEN);
+        let (jobs, job_rx) = flume::bounded(run::JOB_QUEUE_LEN);
         let transport = Transport::start(settings.place.peers, material, tx)?;
         let operators = settings.place.operators;
         let address = match &settings.endpoint {
@@ -209,7 +211,7 @@
         };
         let warm_limit = match &settings.endpoint {
             EndpointSettings::Engine { concurrent, .. } => *concurrent,
-            EndpointSettings::Plain { .. } => PLAIN_LIMIT,
+            EndpointSettings::Plain { .. } => DEFAULT_PLAIN_CONCURRENCY,
         };
         let clock = Clock::start();
         let store = open_store(&settings)?;
@@ -230,27 +232,27 @@
             attempts: Mutex::default(),
             shares: Mutex::default(),
             last_crash: Mutex::default(),
-            runs,
+            jobs,
             store,
             weights,
-            standing_in: Mutex::default(),
-            weights_base: Mutex::default(),
+            takeover: Mutex::default(),
+            weights_url: Mutex::default(),
             stopping: AtomicBool::new(false),
             over: AtomicBool::new(false),
             running: AtomicU32::new(0),
         });
         let operators = operator::start(operators, shared.clone())?;
-        *shared.weights_base.lock().expect("no holder of this lock panics") =
+        *shared.weights_url.lock().expect("no holder of this lock panics") =
             format!("http://{operators}/weights/");
         let asks = shared.clone();
         let requests = shared.clone();
         let threads = vec![
-            spawn("requests", move || run::run(&requests, &jobs)),
-            spawn("asks", move || asks::serve(&asks, &rx)),
+            spawn_thread("requests", move || run::run(&requests, &job_rx)),
+            spawn_thread("asks", move || asks::serve(&asks, &rx)),
             control::start(&shared),
             platform_watch::start(&shared, platform),
-            spawn_duty("engine", &shared, engine_watch::run),
-            spawn_duty("pull", &shared, pull::run),
+            spawn_polling_thread("engine", &shared, engine_watch::run),
+            spawn_polling_thread("pull", &shared, pull::run),
         ];
         info!(
             shared.telemetry.log, "started";
@@ -260,34 +262,36 @@
         Ok(Agent { shared, threads, operators })
     }
 
-    /// Where peers reach it.
+    /// Address of the transport for peers.
     pub fn peers_addr(&self) -> SocketAddr {
         self.shared.transport.local_addr()
     }
 
-    /// Where operators reach it.
+    /// Address of the HTTP port for operators.
     pub fn operators_addr(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Writes the whole state to the log.
+    /// Writes the state dump to the log.
     pub fn log_dump(&self) {
         let state = self.shared.dump().to_string();
         info!(self.shared.telemetry.log, "state"; "dump" => state);
     }
 
-    /// Ends at once and without a goodbye, as a crash does; for tests of what others make of it.
+    /// Stops immediately and without announcing it, like a crash; for tests of how other processes
+    /// react.
     pub fn crash(self) {
         self.shared.over.store(true, Ordering::Release);
         self.shared.transport.crash();
     }
 
-    /// Stops gracefully: takes nothing new, finishes every request in progress, leaves.
+    /// Stops gracefully: refuses new requests, drains those in progress and leaves the membership.
+    /// Requests that still run at the stop deadline are aborted.
     pub fn stop(self) {
         self.shared.stopping.store(true, Ordering::Release);
-        // Entries hear meanwhile that it leaves. One that sent a request just as the process ended
-        // would not know whether it ran.
-        thread::sleep(LINGER);
+        // Entries receive the leaving state in this time. If the process exited at once, an entry
+        // that sends a request at that moment could not determine whether it ran.
+        thread::sleep(LEAVE_DELAY);
         let deadline = self.shared.settings.stop_deadline_ms.map(Duration::from_millis);
         let begun = self.shared.clock.now();
         while self.shared.running.load(Ordering::Acquire) > 0 {
@@ -296,7 +300,7 @@
                 warn!(self.shared.telemetry.log, "stop deadline"; "cut_off" => running);
                 break;
             }
-            thread::sleep(TICK);
+            thread::sleep(POLL_INTERVAL);
         }
         self.shared.over.store(true, Ordering::Release);
         for thread in self.threads {
@@ -344,13 +348,20 @@
     })
 }
 
-fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> thread::JoinHandle<()> {
-    thread::Builder::new().name(name.to_owned()).spawn(run).expect("the system gives a thread")
+fn spawn_thread(name: &str, run: impl FnOnce() + Send + 'static) -> thread::JoinHandle<()> {
+    thread::Builder::new()
+        .name(name.to_owned())
+        .spawn(run)
+        .expect("the operating system can start a thread")
 }
 
-fn spawn_duty(name: &str, shared: &Arc<Shared>, run: fn(&Shared)) -> thread::JoinHandle<()> {
+fn spawn_polling_thread(
+    name: &str,
+    shared: &Arc<Shared>,
+    run: fn(&Shared),
+) -> thread::JoinHandle<()> {
     let shared = shared.clone();
-    spawn(name, move || run(&shared))
+    spawn_thread(name, move || run(&shared))
 }
 
 impl Controlled for Shared {
@@ -433,8 +444,8 @@
     }
 
     fn weights(&self, manifest: Digest) -> Option<WholeBody> {
-        let whole = self.store.reader(manifest)?;
-        Some(WholeBody { len: whole.len(), reader: Box::new(whole) })
+        let reader = self.store.reader(manifest)?;
+        Some(WholeBody { len: reader.len(), reader: Box::new(reader) })
     }
 
     fn send_gauges(&self) {
--- a/node/src/agent/asks.rs
+++ b/node/src/agent/asks.rs
@@ -1,4 +1,4 @@
-//! Answers what peers ask of an agent.
+//! Handles the requests of other processes to the agent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use super::run;
 use crate::transport::Incoming;
 
-/// How often the thread looks whether the agent has ended.
-const POLL: Duration = Duration::from_millis(200);
+/// How often the thread checks whether the agent has stopped.
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Serves the ring until the agent ends.
+/// Handles queued requests until the agent stops.
 pub(super) fn serve(shared: &Arc<Shared>, asks: &flume::Receiver<Incoming>) {
     while !shared.is_over() {
-        if let Ok(incoming) = asks.recv_timeout(POLL) {
-            answer(shared, incoming);
+        if let Ok(incoming) = asks.recv_timeout(SHUTDOWN_CHECK_INTERVAL) {
+            handle(shared, incoming);
         }
     }
 }
 
-fn answer(shared: &Arc<Shared>, incoming: Incoming) {
+fn handle(shared: &Arc<Shared>, incoming: Incoming) {
     match incoming.ask.body {
         AskBody::Weights(_) => return shared.weights.serve(incoming),
         AskBody::Members(_) | AskBody::Spread(_) => return shared.control.take(incoming),
@@ -33,8 +33,8 @@
     }
     let Incoming { ask, replies, .. } = incoming;
     let body = match ask.body {
-        AskBody::Run(ask) => return run::offer(shared, ask, replies),
-        AskBody::Void(ask) => ReplyBody::Void(void(shared, &ask)),
+        AskBody::Run(req) => return run::enqueue(shared, req, replies),
+        AskBody::Void(req) => ReplyBody::Void(void(shared, &req)),
         AskBody::Weights(_)
         | AskBody::Members(_)
         | AskBody::Spread(_)
@@ -45,10 +45,11 @@
     let _ = replies.send(Reply { generation, body });
 }
 
-/// A request that has not started in this life is marked, so that its late frames are refused.
-fn void(shared: &Shared, ask: &VoidRequest) -> VoidReply {
-    if ask.incarnation != shared.incarnation {
+/// Returns the state of an attempt. One that has not started in this incarnation is voided, so that
+/// it is refused if it arrives later.
+fn void(shared: &Shared, req: &VoidRequest) -> VoidReply {
+    if req.incarnation != shared.incarnation {
         return VoidReply::Unknown;
     }
-    shared.attempts.lock().expect("no holder of this lock panics").void(ask.request)
+    shared.attempts.lock().expect("no holder of this lock panics").void(req.request)
 }
--- a/node/src/agent/engine_watch.rs
+++ b/node/src/agent/engine_watch.rs
@@ -1,8 +1,8 @@
-//! Watches the endpoint, opens and closes the gate, and gives the engine its orders.
+//! Polls the health of the endpoint, opens and closes the gate, and sends orders to the engine.
 //!
-//! The gate is the value `Shared::serving`: requests enter only for what stands there. Before an
-//! order the gate closes and every request in progress ends; afterwards it opens for what the engine
-//! itself reports, whatever it answered.
+//! The gate is `Shared::serving`: only requests for the version or service in it are admitted.
+//! Before an order the gate is closed and the requests in progress are drained. Afterwards it opens
+//! for the version that the engine itself reports, whatever it answered to the order.
 
 use std::sync::atomic::Ordering;
 use std::thread;
@@ -29,45 +29,45 @@
 use slog::info;
 use slog::warn;
 
+use super::POLL_INTERVAL;
 use super::Shared;
-use super::TICK;
 use crate::engine::LoadOrder;
-use crate::engine::scan_version;
+use crate::engine::parse_version;
 use crate::settings::EndpointSettings;
 use crate::telemetry::Counter;
 use crate::telemetry::Timer;
 
-/// How long another replica may take to say that it is ready.
+/// Timeout of a readiness probe to another replica.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long the end of a read may be noticed after the engine has answered.
-const READ_GRACE: Duration = Duration::from_secs(2);
+/// How long after the response of the engine the end of its read may be recorded.
+const READ_END_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often that is looked for.
-const READ_POLL: Duration = Duration::from_millis(5);
+/// How often the record of completed reads is checked in that time.
+const READ_END_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-struct Watch<'a> {
+struct EngineWatch<'a> {
     shared: &'a Shared,
     backoff: Backoff,
-    /// A version that the engine claims to have loaded without having read all its bytes.
-    distrusted: Option<(StartId, Digest)>,
+    /// A version that the engine process reports as loaded without having read all its bytes.
+    partial_load: Option<(StartId, Digest)>,
 }
 
-/// Runs until the agent ends.
+/// Runs until the agent stops.
 pub(super) fn run(shared: &Shared) {
-    let mut watch = Watch { shared, backoff: Backoff::default(), distrusted: None };
+    let mut watch = EngineWatch { shared, backoff: Backoff::default(), partial_load: None };
     while !shared.is_over() {
-        let serving = watch.look();
-        set(shared, serving);
+        let serving = watch.read_serving();
+        set_serving(shared, serving);
         if matches!(shared.settings.endpoint, EndpointSettings::Engine { .. }) {
-            watch.order();
+            watch.reconcile();
         }
-        thread::sleep(TICK);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-impl Watch<'_> {
-    fn look(&self) -> Serving {
+impl EngineWatch<'_> {
+    fn read_serving(&self) -> Serving {
         let Ok(health) = self.shared.engine.health() else {
             return Serving::Nothing;
         };
@@ -75,27 +75,27 @@
         if let EndpointSettings::Plain { service, .. } = &self.shared.settings.endpoint {
             return Serving::Plain { service: service.clone(), start };
         }
-        let loaded = health.loaded.and_then(|l| Some((l.model, scan_version(&l.version)?)));
+        let loaded = health.loaded.and_then(|l| Some((l.model, parse_version(&l.version)?)));
         match loaded {
-            Some((_, version)) if self.distrusted == Some((start, version)) => Serving::Nothing,
+            Some((_, version)) if self.partial_load == Some((start, version)) => Serving::Nothing,
             Some((model, version)) => Serving::Model { model, version, start },
             None => Serving::Nothing,
         }
     }
 
-    fn order(&mut self) {
-        let held = match &*lock_serving(self.shared) {
+    fn reconcile(&mut self) {
+        let loaded = match &*lock_serving(self.shared) {
             Serving::Model { model, version, .. } => Some((model.clone(), *version)),
             Serving::Nothing | Serving::Plain { .. } => None,
         };
-        match self.shared.wanted() {
+        match self.shared.wanted_plan() {
             Some((model, revision, plan)) => {
                 if let Some(version) = self.shared.wanted_version(&plan) {
-                    self.load(&model, version, revision, held);
+                    self.load(&model, version, revision, loaded);
                 }
             }
             None => {
-                if let Some((model, version)) = held {
+                if let Some((model, version)) = loaded {
                     self.unload(&model, version);
                 }
             }
@@ -107,9 +107,9 @@
         model: &ModelName,
         version: Digest,
         revision: u64,
-        held: Option<(ModelName, Digest)>,
+        loaded: Option<(ModelName, Digest)>,
     ) {
-        if held.as_ref().is_some_and(|(_, held)| *held == version)
+        if loaded.as_ref().is_some_and(|(_, loaded)| *loaded == version)
             || !self.backoff.allows(version, self.shared.clock.now())
         {
             return;
@@ -118,16 +118,16 @@
         let Ok(verified) = wanted.verify(self.shared.store.is_complete(version)) else {
             return;
         };
-        let release = held.is_none_or(|(model, held)| self.may_release(&model, held));
+        let release = loaded.is_none_or(|(model, old)| self.may_release(&model, old));
         if release {
-            self.carry_out(verified, release, model);
+            self.drain_and_load(verified, release, model);
         }
     }
 
-    /// Drains, orders, and reads back.
-    fn carry_out(&mut self, verified: Verified, release: bool, model: &ModelName) {
+    /// Drains the engine, orders it to load, and checks what it reports afterwards.
+    fn drain_and_load(&mut self, verified: Verified, release: bool, model: &ModelName) {
         let shared = self.shared;
-        set(shared, Serving::Nothing);
+        set_serving(shared, Serving::Nothing);
         self.wait_until_idle();
         let Ok(drained) = verified.drain(release, shared.running.load(Ordering::Acquire)) else {
             return;
@@ -135,56 +135,56 @@
         let (version, fence, ordered) = drained.order();
         let reads_before = shared.store.complete_reads(version);
         let result = self.send_load(model, version, fence);
-        let reported = self.reported();
+        let reported = self.read_reported();
         let confirmed = ordered.confirm(reported);
         match confirmed {
-            Ok(_) if self.was_read_whole(version, reads_before) => self.distrusted = None,
+            Ok(_) if self.was_read_completely(version, reads_before) => self.partial_load = None,
             Ok(start) => {
-                // The connection broke half way and the engine took what it had for the whole: it
-                // would answer from partial weights. Nothing may run until it has loaded them again.
-                self.distrusted = Some((start, version));
+                // The connection broke during the load and the engine took the partial weights for
+                // complete ones. No request may run on it until it has loaded them again.
+                self.partial_load = Some((start, version));
                 let _ = shared.engine.unload(fence);
             }
             Err(_) => {}
         }
-        let trusted = confirmed.is_ok_and(|start| self.distrusted != Some((start, version)));
-        if trusted {
+        let is_complete = confirmed.is_ok_and(|start| self.partial_load != Some((start, version)));
+        if is_complete {
             self.backoff.record_success();
-            self.distrusted = None;
+            self.partial_load = None;
             return;
         }
         self.backoff.record_failure(version, shared.clock.now());
         shared.telemetry.count(Counter::OrdersFailed);
         let code = result.err().or(confirmed.err()).unwrap_or(Code::OrderIgnored);
-        warn!(shared.telemetry.log, "engine did not load"; "code" => code.number());
+        warn!(shared.telemetry.log, "engine failed to load"; "code" => code.number());
     }
 
-    /// Whether the weights have been read to their end since there were `before` such reads. The
-    /// engine may answer before the thread that sends them has noticed that it sent the last byte.
-    fn was_read_whole(&self, version: Digest, before: u64) -> bool {
+    /// Whether the weights were read to their end again after the count of such reads was `before`.
+    /// The engine may answer before the thread that sends the weights has recorded the last byte.
+    fn was_read_completely(&self, version: Digest, before: u64) -> bool {
         let begun = Instant::now();
         while self.shared.store.complete_reads(version) == before {
-            if begun.elapsed() > READ_GRACE || self.shared.is_over() {
+            if begun.elapsed() > READ_END_TIMEOUT || self.shared.is_over() {
                 return false;
             }
-            thread::sleep(READ_POLL);
+            thread::sleep(READ_END_POLL_INTERVAL);
         }
         true
     }
 
     fn wait_until_idle(&self) {
         while self.shared.running.load(Ordering::Acquire) > 0 && !self.shared.is_over() {
-            thread::sleep(TICK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
     fn send_load(&self, model: &ModelName, version: Digest, fence: Fence) -> Result<(), Code> {
         let shared = self.shared;
-        let base = shared.weights_base.lock().expect("no holder of this lock panics").clone();
+        let prefix = shared.weights_url.lock().expect("no holder of this lock panics").clone();
         let text = version.to_hex();
         let order = LoadOrder {
             model: model.clone(),
-            source: format!("{base}{text}"),
+            source: format!("{prefix}{text}"),
             version: text.into(),
             fence,
         };
@@ -195,13 +195,13 @@
         result
     }
 
-    fn reported(&self) -> Option<Reported> {
+    fn read_reported(&self) -> Option<Reported> {
         let health = self.shared.engine.health().ok()?;
-        let version = health.loaded.and_then(|loaded| scan_version(&loaded.version));
+        let version = health.loaded.and_then(|loaded| parse_version(&loaded.version));
         Some(Reported { start: health.start_id, version })
     }
 
-    /// The plan has no replica here any more.
+    /// Unloads a version of a model whose plan no longer has a replica on this host.
     fn unload(&mut self, model: &ModelName, version: Digest) {
         let shared = self.shared;
         let Some((revision, _)) = shared.documents.plan(model) else {
@@ -210,19 +210,19 @@
         if !self.may_release(model, version) || !self.backoff.allows(version, shared.clock.now()) {
             return;
         }
-        set(shared, Serving::Nothing);
+        set_serving(shared, Serving::Nothing);
         self.wait_until_idle();
         shared.telemetry.count(Counter::Orders);
         let fence = Fence { plan: revision, incarnation: shared.incarnation };
         let _ = shared.engine.unload(fence);
-        if self.reported().is_none_or(|reported| reported.version.is_some()) {
+        if self.read_reported().is_none_or(|reported| reported.version.is_some()) {
             self.backoff.record_failure(version, shared.clock.now());
             shared.telemetry.count(Counter::OrdersFailed);
-            warn!(shared.telemetry.log, "engine did not unload"; "version" => version.to_string());
+            warn!(shared.telemetry.log, "engine failed to unload"; "version" => version.to_string());
         }
     }
 
-    fn may_release(&self, model: &ModelName, held: Digest) -> bool {
+    fn may_release(&self, model: &ModelName, old: Digest) -> bool {
         let shared = self.shared;
         let plan: Option<Plan> = shared.documents.plan(model).map(|(_, plan)| plan);
         let is_ready = |host: &HostName| {
@@ -235,10 +235,10 @@
                 reply.map(|reply| reply.body),
                 Ok(ReplyBody::Members(MembersReply::Member(member)))
                     if !member.leaving
-                    && matches!(&member.serving, Serving::Model { version, .. } if *version == held)
+                    && matches!(&member.serving, Serving::Model { version, .. } if *version == old)
             )
         };
-        may_release(plan.as_ref(), &shared.settings.place.host, held, is_ready)
+        may_release(plan.as_ref(), &shared.settings.place.host, old, is_ready)
     }
 }
 
@@ -246,19 +246,19 @@
     shared.serving.lock().expect("no holder of this lock panics")
 }
 
-fn start_of(serving: &Serving) -> Option<StartId> {
+fn start_id_of(serving: &Serving) -> Option<StartId> {
     match serving {
         Serving::Nothing => None,
         Serving::Model { start, .. } | Serving::Plain { start, .. } => Some(*start),
     }
 }
 
-fn set(shared: &Shared, serving: Serving) {
+fn set_serving(shared: &Shared, serving: Serving) {
     let mut old = lock_serving(shared);
     if *old == serving {
         return;
     }
-    if start_of(&serving).is_some() && start_of(&old) != start_of(&serving) {
+    if start_id_of(&serving).is_some() && start_id_of(&old) != start_id_of(&serving) {
         shared.telemetry.count(Counter::EndpointStarts);
     }
     match (&*old, &serving) {
@@ -266,9 +266,9 @@
         (_, Serving::Nothing) => shared.telemetry.count(Counter::GateClosed),
         _ => {}
     }
-    if start_of(&old) != start_of(&serving) {
+    if start_id_of(&old) != start_id_of(&serving) {
         shared.admission.lock().expect("no holder of this lock panics").restart();
     }
-    info!(shared.telemetry.log, "endpoint changed"; "serving" => format!("{serving:?}"));
+    info!(shared.telemetry.log, "endpoint state changed"; "serving" => format!("{serving:?}"));
     *old = serving;
 }
--- a/node/src/agent/pull.rs
+++ b/node/src/agent/pull.rs
@@ -1,5 +1,5 @@
-//! Tells the weight threads which versions the plans want here, and which hosts take part; stands
-//! in for a dead replica of its zone while no planner does.
+//! Passes the wanted versions and the peers to the weight threads, and takes over for a dead
+//! replica of the zone while no planner replaces it.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -22,83 +22,83 @@
 use mastichaven_core::swarm::PeerLocation;
 use mastichaven_core::wire::AskBody;
 
+use super::POLL_INTERVAL;
 use super::Shared;
-use super::TICK;
 use crate::weights::PeerAddress;
 use crate::weights::WantedVersions;
 
-/// How long a fresh agent waits until it knows at least half of the plan's hosts. Members come to
-/// be known one after the other: an agent that starts with few of them would hold itself
-/// responsible for every chunk and spend the origin budget on chunks that others pull, too.
-const LIST_PATIENCE: Duration = Duration::from_secs(10);
+/// How long a new agent waits until at least half of the plan's hosts are members. Members are
+/// discovered one by one, and an agent with few of them would consider itself the owner of every
+/// chunk and spend the origin budget on chunks that others pull as well.
+const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often the agent looks whether it is to stand in.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the agent checks whether it must take over for a replica.
+const TAKEOVER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often a candidate probes the replicas of its zone.
+/// How often a candidate probes the replicas in its zone.
 const PROBE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// How long a probe may take.
+/// Timeout of one round of probes.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long a replica must be silent, with the plan unchanged, before a candidate stands in: the
-/// planner, if there is one, is quicker.
-const SILENT_FOR: Duration = Duration::from_secs(20);
+/// How long a replica must not answer, with an unchanged plan, before a candidate takes over. It is
+/// longer than a planner needs to replace the replica.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Only the first candidates of a zone probe, so that a large zone is not flooded.
-const PROBING_CANDIDATES: usize = 4;
+/// Number of candidates per zone that probe, so that a large zone is not flooded with probes.
+const MAX_PROBING_CANDIDATES: usize = 4;
 
-/// What a candidate remembers of the replicas it probes.
+/// Results of the probes of one model's replicas.
 #[derive(Default)]
-struct Probes {
+struct ProbeState {
     revision: u64,
     unchanged_since: Time,
     probed_at: Option<Time>,
     last_contact: HashMap<HostName, Time>,
 }
 
-/// Runs until the agent ends.
+/// Runs until the agent stops.
 pub(super) fn run(shared: &Shared) {
-    let mut probes = HashMap::new();
+    let mut probe_state = HashMap::new();
     let mut zones = HashMap::new();
-    let mut looked_at: Option<Time> = None;
+    let mut checked_at: Option<Time> = None;
     let started = shared.clock.now();
     while !shared.is_over() {
-        let listed: Vec<ListedHost> = shared.control.members().iter().map(listed_of).collect();
+        let listed: Vec<ListedHost> = shared.control.members().iter().map(to_listed_host).collect();
         let now = shared.clock.now();
-        if looked_at.is_none_or(|at| now.passed(at, LOOK_INTERVAL)) {
-            looked_at = Some(now);
-            remember_zones(shared, &listed, &mut zones);
-            look_for_dead(shared, &zones, &mut probes);
+        if checked_at.is_none_or(|at| now.passed(at, TAKEOVER_CHECK_INTERVAL)) {
+            checked_at = Some(now);
+            update_zones(shared, &listed, &mut zones);
+            update_takeover(shared, &zones, &mut probe_state);
         }
-        step(shared, &listed, started);
-        thread::sleep(TICK);
+        update_weights(shared, &listed, started);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn step(shared: &Shared, listed: &[ListedHost], started: Time) {
-    let Some((_, _, plan)) = shared.wanted() else {
+fn update_weights(shared: &Shared, listed: &[ListedHost], started: Time) {
+    let Some((_, _, plan)) = shared.wanted_plan() else {
         return;
     };
-    let takes_part = |host: &HostName| plan.version_for(host).is_some();
+    let is_replica = |host: &HostName| plan.version_for(host).is_some();
     let peers: Vec<PeerAddress> = listed
         .iter()
-        .filter(|h| h.role == HostRole::Agent && takes_part(&h.name))
-        .map(peer_of)
+        .filter(|h| h.role == HostRole::Agent && is_replica(&h.name))
+        .map(to_peer_address)
         .collect();
-    let few = peers.len() * 2 < plan.replicas.len();
-    if few && !shared.clock.now().passed(started, LIST_PATIENCE) {
+    let knows_few = peers.len() * 2 < plan.replicas.len();
+    if knows_few && !shared.clock.now().passed(started, PEER_DISCOVERY_TIMEOUT) {
         return;
     }
     shared.weights.set_peers(peers);
     let mut versions: Vec<Digest> = plan.versions().collect();
-    versions.extend(loaded(shared).filter(|version| !versions.contains(version)));
+    versions.extend(loaded_version(shared).filter(|version| !versions.contains(version)));
     let origin_copies = shared.documents.in_force().config.limits.origin_copies;
     shared.weights.set_wanted(WantedVersions { versions, origin_copies });
     shared.weights.set_link_shared(shared.running.load(Ordering::Acquire) > 0);
 }
 
-fn peer_of(listed: &ListedHost) -> PeerAddress {
+fn to_peer_address(listed: &ListedHost) -> PeerAddress {
     let location = PeerLocation {
         host: listed.name.clone(),
         zone: listed.zone.clone(),
@@ -107,8 +107,8 @@
     PeerAddress { location, address: listed.address }
 }
 
-/// The place of a member; a pull does not need more of it.
-fn listed_of(member: &Member) -> ListedHost {
+/// Reduces a member to its location and role.
+fn to_listed_host(member: &Member) -> ListedHost {
     ListedHost {
         name: member.host.clone(),
         role: member.role,
@@ -119,17 +119,18 @@
     }
 }
 
-/// The version the engine answers from now. Its chunks stay, so that a rollback needs no link.
-fn loaded(shared: &Shared) -> Option<Digest> {
+/// The version that the engine currently serves. Its chunks stay stored, so that a rollback needs
+/// no download.
+fn loaded_version(shared: &Shared) -> Option<Digest> {
     match &*shared.serving.lock().expect("no holder of this lock panics") {
         Serving::Model { version, .. } => Some(*version),
         Serving::Nothing | Serving::Plain { .. } => None,
     }
 }
 
-/// Notes where the hosts of the plans stand. A dead host drops out of the members, and a candidate
-/// that then no longer knew its zone would never count it as dead.
-fn remember_zones(shared: &Shared, listed: &[ListedHost], zones: &mut HashMap<HostName, ZoneName>) {
+/// Records the zones of the hosts in the plans. A dead host is removed from the members, and
+/// without its zone a candidate would never consider it dead.
+fn update_zones(shared: &Shared, listed: &[ListedHost], zones: &mut HashMap<HostName, ZoneName>) {
     let in_force = shared.documents.in_force();
     let plans: Vec<Plan> =
         in_force.config.model.keys().filter_map(|m| Some(shared.documents.plan(m)?.1)).collect();
@@ -137,62 +138,64 @@
         let replicas = plan.replicas.iter().map(|replica| &replica.host);
         replicas.chain(&plan.candidates).cloned().collect()
     };
-    let named: HashSet<HostName> = plans.iter().flat_map(hosts).collect();
-    zones.retain(|host, _| named.contains(host));
-    for host in listed.iter().filter(|host| named.contains(&host.name)) {
+    let hosts_in_plans: HashSet<HostName> = plans.iter().flat_map(hosts).collect();
+    zones.retain(|host, _| hosts_in_plans.contains(host));
+    for host in listed.iter().filter(|host| hosts_in_plans.contains(&host.name)) {
         zones.insert(host.name.clone(), host.zone.clone());
     }
 }
 
-/// While the platform or every planner is out of reach, the plan stands, and a dead replica would
-/// stay missing for as long. So the candidates of its zone watch the replicas and step in in the
-/// plan's order.
-fn look_for_dead(
+/// Chooses the version to serve for a dead replica, if any. While the platform or every planner is
+/// unreachable, plans do not change and a dead replica would not be replaced. So the candidates of
+/// its zone probe the replicas and take over in the order of the plan.
+fn update_takeover(
     shared: &Shared,
     zones: &HashMap<HostName, ZoneName>,
-    probes: &mut HashMap<ModelName, Probes>,
+    probe_state: &mut HashMap<ModelName, ProbeState>,
 ) {
     let in_force = shared.documents.in_force();
-    let mut standing_in = None;
+    let mut takeover = None;
     for model in in_force.config.model.keys() {
         let Some((revision, plan)) = shared.documents.plan(model) else {
             continue;
         };
-        let probes = probes.entry(model.clone()).or_default();
-        if let Some(version) = stand_in_for(shared, zones, &plan, revision, probes) {
-            standing_in = Some((model.clone(), version));
+        let probe_state = probe_state.entry(model.clone()).or_default();
+        if let Some(version) = version_to_take_over(shared, zones, &plan, revision, probe_state) {
+            takeover = Some((model.clone(), version));
         }
     }
-    *shared.standing_in.lock().expect("no holder of this lock panics") = standing_in;
+    *shared.takeover.lock().expect("no holder of this lock panics") = takeover;
 }
 
-fn stand_in_for(
+fn version_to_take_over(
     shared: &Shared,
     zones: &HashMap<HostName, ZoneName>,
     plan: &Plan,
     revision: u64,
-    probes: &mut Probes,
+    probe_state: &mut ProbeState,
 ) -> Option<Digest> {
     let now = shared.clock.now();
     let place = &shared.settings.place;
-    if probes.revision != revision {
-        *probes = Probes { revision, unchanged_since: now, ..Probes::default() };
+    if probe_state.revision != revision {
+        *probe_state = ProbeState { revision, unchanged_since: now, ..ProbeState::default() };
     }
     let in_my_zone = |host: &HostName| zones.get(host) == Some(&place.zone);
-    let mut first = plan.candidates.iter().filter(|host| in_my_zone(host)).take(PROBING_CANDIDATES);
+    let mut first =
+        plan.candidates.iter().filter(|host| in_my_zone(host)).take(MAX_PROBING_CANDIDATES);
     if !first.any(|host| *host == place.host) {
         return None;
     }
-    if probes.probed_at.is_none_or(|at| now.passed(at, PROBE_INTERVAL)) {
-        probes.probed_at = Some(now);
-        probe(shared, plan, &in_my_zone, probes);
+    if probe_state.probed_at.is_none_or(|at| now.passed(at, PROBE_INTERVAL)) {
+        probe_state.probed_at = Some(now);
+        probe(shared, plan, &in_my_zone, probe_state);
     }
-    if !now.passed(probes.unchanged_since, SILENT_FOR) {
+    if !now.passed(probe_state.unchanged_since, TAKEOVER_TIMEOUT) {
         return None;
     }
-    let heard = |host: &HostName| probes.last_contact.get(host).copied();
-    let is_dead =
-        |host: &HostName| now.passed(heard(host).unwrap_or(probes.unchanged_since), SILENT_FOR);
+    let last_contact = |host: &HostName| probe_state.last_contact.get(host).copied();
+    let is_dead = |host: &HostName| {
+        now.passed(last_contact(host).unwrap_or(probe_state.unchanged_since), TAKEOVER_TIMEOUT)
+    };
     takeover_version(plan, &place.host, in_my_zone, is_dead)
 }
 
@@ -200,11 +203,12 @@
     shared: &Shared,
     plan: &Plan,
     in_my_zone: &dyn Fn(&HostName) -> bool,
-    probes: &mut Probes,
+    probe_state: &mut ProbeState,
 ) {
     let replicas = plan.replicas.iter().map(|replica| &replica.host);
-    let rivals = plan.candidates.iter().filter(|host| in_my_zone(host)).take(PROBING_CANDIDATES);
-    let hosts = replicas.filter(|host| in_my_zone(host)).chain(rivals);
+    let probing_candidates =
+        plan.candidates.iter().filter(|host| in_my_zone(host)).take(MAX_PROBING_CANDIDATES);
+    let hosts = replicas.filter(|host| in_my_zone(host)).chain(probing_candidates);
     let ask = shared.ask(AskBody::Members(MembersAsk::Probe));
     let calls: Vec<_> = hosts
         .filter(|host| **host != shared.settings.place.host)
@@ -214,7 +218,7 @@
     for (host, mut call) in calls {
         let left = deadline.since(shared.clock.now());
         if matches!(call.next_timeout(left), Some(Ok(_))) {
-            probes.last_contact.insert(host.clone(), shared.clock.now());
+            probe_state.last_contact.insert(host.clone(), shared.clock.now());
         }
     }
 }
--- a/node/src/agent/run.rs
+++ b/node/src/agent/run.rs
@@ -1,4 +1,5 @@
-//! Runs requests on the endpoint: the gate, admission, and the answer's frames.
+//! Runs requests on the endpoint: checks the gate, admits them, and forwards the response in
+//! frames.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -30,49 +31,49 @@
 
 use super::Shared;
 use crate::endpoint;
-use crate::endpoint::Answer;
-use crate::endpoint::Line;
+use crate::endpoint::EndpointConnection;
+use crate::endpoint::EndpointResponse;
 use crate::transport::ReplySink;
 
-/// Requests waiting for the thread; more are refused as busy.
-pub(super) const JOB_RING: usize = 256;
+/// Maximum number of requests queued for the thread; more are refused as busy.
+pub(super) const JOB_QUEUE_LEN: usize = 256;
 
-/// How often the thread looks whether the agent has ended.
-const POLL: Duration = Duration::from_millis(200);
+/// How often the thread checks whether the agent has stopped.
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How often a suspect looks whether the endpoint is empty.
-const ALONE_POLL: Duration = Duration::from_millis(5);
+/// How often an exclusive request checks whether the endpoint is idle.
+const EXCLUSIVE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long a suspect keeps the endpoint from others while it waits.
-const ALONE_WAIT: Duration = Duration::from_secs(2);
+/// How long an exclusive request may wait for an idle endpoint, which admits no others meanwhile.
+const EXCLUSIVE_WAIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the answer of a call that may not be repeated is waited for, so that what became of it
-/// can be told to a resend; its caller's own deadline has long been answered for by then.
-const UNREPEATABLE_WAIT: Duration = Duration::from_secs(600);
+/// Timeout of the response to a request that is not idempotent. It is much longer than the deadline
+/// of the caller, so that the outcome can be reported to a retry with the same idempotency key.
+const NON_IDEMPOTENT_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// A request that arrived, and where its frames go.
+/// A received request, and the sink of its response frames.
 pub(super) struct Job {
-    ask: RunRequest,
+    req: RunRequest,
     replies: ReplySink,
 }
 
-/// Hands `ask` to the thread, or refuses it when the ring is full.
-pub(super) fn offer(shared: &Shared, ask: RunRequest, replies: ReplySink) {
-    if let Err(error) = shared.runs.try_send(Job { ask, replies }) {
+/// Queues `req` for the thread, or refuses it as busy if the queue is full.
+pub(super) fn enqueue(shared: &Shared, req: RunRequest, replies: ReplySink) {
+    if let Err(error) = shared.jobs.try_send(Job { req, replies }) {
         let refused = RunFrame::Refused { code: Code::Busy, load: load(shared) };
         let _ = error.into_inner().replies.send(reply(shared, refused));
     }
 }
 
-/// Serves the ring until the agent ends.
+/// Runs queued requests, each in its own task, until the agent stops.
 pub(super) fn run(shared: &Arc<Shared>, jobs: &flume::Receiver<Job>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("the system gives a runtime");
+        .expect("the operating system can provide a runtime");
     runtime.block_on(async {
         while !shared.is_over() {
-            if let Ok(Ok(job)) = timeout(POLL, jobs.recv_async()).await {
+            if let Ok(Ok(job)) = timeout(SHUTDOWN_CHECK_INTERVAL, jobs.recv_async()).await {
                 tokio::spawn(serve(shared.clone(), job));
             }
         }
@@ -80,18 +81,18 @@
 }
 
 /// How an attempt ended.
-struct Ended {
-    /// The last frame.
+struct AttemptEnd {
+    /// Last frame of the response.
     frame: RunFrame,
-    /// What a void of it is told from now on.
-    record: VoidReply,
-    left: RequestEnd,
+    /// Final state of the attempt, which later void requests are answered with.
+    state: VoidReply,
+    request_end: RequestEnd,
 }
 
 async fn serve(shared: Arc<Shared>, job: Job) {
-    let Job { ask, replies } = job;
+    let Job { req, replies } = job;
     shared.running.fetch_add(1, Ordering::AcqRel);
-    if let Err(code) = run_one(&shared, &ask, &replies).await {
+    if let Err(code) = run_attempt(&shared, &req, &replies).await {
         shared.telemetry.attempted(code);
         let frame = RunFrame::Refused { code, load: load(&shared) };
         let _ = replies.send_async(reply(&shared, frame)).await;
@@ -99,26 +100,30 @@
     shared.running.fetch_sub(1, Ordering::AcqRel);
 }
 
-/// Runs `ask`; an error proves that it did not run.
-async fn run_one(shared: &Arc<Shared>, ask: &RunRequest, replies: &ReplySink) -> Result<(), Code> {
-    check(shared, ask)?;
-    let start = open_for(shared, ask)?;
-    let mut entered = enter(shared, ask).await?;
-    lock(&shared.attempts).start(ask.request)?;
-    let line = match open_line(shared, start).await {
-        Ok(line) => line,
+/// Runs `req`. An error proves that it did not run.
+async fn run_attempt(
+    shared: &Arc<Shared>,
+    req: &RunRequest,
+    replies: &ReplySink,
+) -> Result<(), Code> {
+    check_admissible(shared, req)?;
+    let start = expected_start(shared, req)?;
+    let mut admitted = admit(shared, req).await?;
+    lock(&shared.attempts).start(req.request)?;
+    let connection = match connect(shared, start).await {
+        Ok(connection) => connection,
         Err(code) => {
-            lock(&shared.attempts).finish(ask.request, VoidReply::Voided);
+            lock(&shared.attempts).finish(req.request, VoidReply::Voided);
             return Err(code);
         }
     };
-    let ended = forward(shared, ask, start, line, replies).await;
+    let ended = forward(shared, req, start, connection, replies).await;
     shared.telemetry.attempted(match &ended.frame {
         RunFrame::Failed { code, .. } => *code,
         _ => Code::Ok,
     });
-    lock(&shared.attempts).finish(ask.request, ended.record);
-    entered.leave(ended.left);
+    lock(&shared.attempts).finish(req.request, ended.state);
+    admitted.release(ended.request_end);
     let frame = match ended.frame {
         RunFrame::End { attempt, frames, .. } => {
             RunFrame::End { attempt, frames, load: load(shared) }
@@ -129,90 +134,93 @@
     Ok(())
 }
 
-/// Checks everything but the endpoint itself.
-fn check(shared: &Shared, ask: &RunRequest) -> Result<(), Code> {
+/// Checks that the agent may run `req`, apart from the state of the endpoint.
+fn check_admissible(shared: &Shared, req: &RunRequest) -> Result<(), Code> {
     let in_force = shared.documents.in_force();
     let zone = in_force.config.zone.get(&shared.settings.place.zone);
     if shared.is_leaving() || zone.is_some_and(|zone| zone.state == ZoneState::Out) {
         return Err(Code::EndpointClosed);
     }
-    // Another life of this agent remembers nothing of what this attempt's void was told.
-    if ask.incarnation != Some(shared.incarnation) {
+    // The request may have been voided at another incarnation, of which this one has no record.
+    if req.incarnation != Some(shared.incarnation) {
         return Err(Code::EndpointClosed);
     }
-    lock(&shared.attempts).check_start(ask.request)?;
-    if let Some(Service::Plain { concurrent, .. }) = in_force.config.service.get(&ask.service) {
+    lock(&shared.attempts).check_start(req.request)?;
+    if let Some(Service::Plain { concurrent, .. }) = in_force.config.service.get(&req.service) {
         lock(&shared.admission).set_max(*concurrent);
     }
     Ok(())
 }
 
-fn open_for(shared: &Shared, ask: &RunRequest) -> Result<StartId, Code> {
+fn expected_start(shared: &Shared, req: &RunRequest) -> Result<StartId, Code> {
     let serving = lock(&shared.serving);
-    gate::check_serving(&serving, &ask.service, ask.version).map(|source| source.start())
+    gate::check_serving(&serving, &req.service, req.version).map(|source| source.start())
 }
 
-async fn enter(shared: &Arc<Shared>, ask: &RunRequest) -> Result<Entered, Code> {
-    let place =
-        if ask.exclusive { enter_alone(shared, ask).await? } else { enter_beside(shared, ask)? };
-    let entry = ask.request.sender();
+async fn admit(shared: &Arc<Shared>, req: &RunRequest) -> Result<AdmittedRequest, Code> {
+    let permit = if req.exclusive {
+        admit_exclusive(shared, req).await?
+    } else {
+        admit_shared(shared, req)?
+    };
+    let entry = req.request.sender();
     lock(&shared.shares).acquire(entry, shared.clock.now());
-    Ok(Entered { shared: shared.clone(), entry, place: Some(place) })
+    Ok(AdmittedRequest { shared: shared.clone(), entry, permit: Some(permit) })
 }
 
-fn enter_beside(shared: &Shared, ask: &RunRequest) -> Result<Permit, Code> {
-    let (entry, now) = (ask.request.sender(), shared.clock.now());
+fn admit_shared(shared: &Shared, req: &RunRequest) -> Result<Permit, Code> {
+    let (entry, now) = (req.request.sender(), shared.clock.now());
     let mut shares = lock(&shared.shares);
     let mut admission = lock(&shared.admission);
-    let has_share = shares.may_acquire(entry, admission.load().limit, now);
-    let place = if has_share { admission.try_acquire(ask.work) } else { None };
-    if place.is_none() {
+    let may_acquire = shares.may_acquire(entry, admission.load().limit, now);
+    let permit = if may_acquire { admission.try_acquire(req.work) } else { None };
+    if permit.is_none() {
         shares.record_refusal(entry, now);
     }
-    place.ok_or(Code::EndpointFull)
+    permit.ok_or(Code::EndpointFull)
 }
 
-async fn enter_alone(shared: &Shared, ask: &RunRequest) -> Result<Permit, Code> {
+async fn admit_exclusive(shared: &Shared, req: &RunRequest) -> Result<Permit, Code> {
     if !lock(&shared.admission).reserve_exclusive() {
         return Err(Code::EndpointFull);
     }
     let started = Instant::now();
-    while started.elapsed() < ALONE_WAIT {
-        if let Some(place) = lock(&shared.admission).try_acquire_exclusive(ask.work) {
-            return Ok(place);
+    while started.elapsed() < EXCLUSIVE_WAIT_TIMEOUT {
+        if let Some(permit) = lock(&shared.admission).try_acquire_exclusive(req.work) {
+            return Ok(permit);
         }
-        tokio::time::sleep(ALONE_POLL).await;
+        tokio::time::sleep(EXCLUSIVE_POLL_INTERVAL).await;
     }
     lock(&shared.admission).cancel_exclusive();
     Err(Code::EndpointFull)
 }
 
-/// A place at the endpoint, given back when dropped.
-struct Entered {
+/// An admitted request. Its permit is released on drop.
+struct AdmittedRequest {
     shared: Arc<Shared>,
     entry: u64,
-    place: Option<Permit>,
+    permit: Option<Permit>,
 }
 
-impl Entered {
-    fn leave(&mut self, left: RequestEnd) {
-        if let Some(place) = self.place.take() {
+impl AdmittedRequest {
+    fn release(&mut self, request_end: RequestEnd) {
+        if let Some(permit) = self.permit.take() {
             lock(&self.shared.shares).release(self.entry);
-            lock(&self.shared.admission).release(place, left);
+            lock(&self.shared.admission).release(permit, request_end);
         }
     }
 }
 
-impl Drop for Entered {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
-        self.leave(RequestEnd::Aborted);
+        self.release(RequestEnd::Aborted);
     }
 }
 
-/// Opens a connection after the endpoint has shown a recent sign of the life `start`.
-async fn open_line(shared: &Shared, start: StartId) -> Result<Line, Code> {
+/// Connects to the endpoint, after it has confirmed its start id `start` recently enough.
+async fn connect(shared: &Shared, start: StartId) -> Result<EndpointConnection, Code> {
     while lock(&shared.admission).needs_confirmation() {
-        match endpoint::start_id(shared.engine.base()).await {
+        match endpoint::fetch_start_id(shared.engine.base()).await {
             Ok(found) if found == start => lock(&shared.admission).confirm(),
             _ => {
                 close_gate(shared, start);
@@ -221,8 +229,8 @@
         }
     }
     lock(&shared.admission).record_sent();
-    match endpoint::open(shared.engine.base()).await {
-        Ok(line) => Ok(line),
+    match endpoint::connect(shared.engine.base()).await {
+        Ok(connection) => Ok(connection),
         Err(code) => {
             close_gate(shared, start);
             Err(code)
@@ -230,14 +238,15 @@
     }
 }
 
-/// The life `start` is over: nothing is sent until the watch has seen a new one, which is cold.
+/// Closes the gate because the endpoint process with the start id `start` has ended. It opens when
+/// the engine watch finds a new process, which starts cold.
 fn close_gate(shared: &Shared, start: StartId) {
     let mut serving = lock(&shared.serving);
-    let known = match &*serving {
+    let serving_start = match &*serving {
         Serving::Model { start, .. } | Serving::Plain { start, .. } => Some(*start),
         Serving::Nothing => None,
     };
-    if known == Some(start) {
+    if serving_start == Some(start) {
         *serving = Serving::Nothing;
         lock(&shared.admission).restart();
     }
@@ -245,78 +254,83 @@
 
 async fn forward(
     shared: &Arc<Shared>,
-    ask: &RunRequest,
+    req: &RunRequest,
     start: StartId,
-    line: Line,
+    connection: EndpointConnection,
     replies: &ReplySink,
-) -> Ended {
+) -> AttemptEnd {
     let begun = Instant::now();
     let sent = replies.send_async(reply(shared, RunFrame::Started { start })).await;
-    if sent.is_err() && ask.idempotent {
-        return cut(shared, ask, Code::CallerLeft, start).await;
+    if sent.is_err() && req.idempotent {
+        return end_early(shared, req, Code::CallerLeft, start).await;
     }
-    let answer = tokio::select! {
-        answer = within(first_byte_limit(shared, ask), line.run(ask)) => answer,
-        () = replies.closed(), if ask.idempotent => Err(Code::CallerLeft),
+    let response = tokio::select! {
+        response = with_timeout(first_byte_timeout(shared, req), connection.send(req)) => response,
+        () = replies.closed(), if req.idempotent => Err(Code::CallerLeft),
     };
-    let answer = answer.and_then(|answer| check_answer(ask, start, answer));
-    match answer {
-        Ok(answer) => {
-            if answer.start == Some(start) {
+    let response = response.and_then(|response| check_response(req, start, response));
+    match response {
+        Ok(response) => {
+            if response.start == Some(start) {
                 lock(&shared.admission).confirm();
             }
-            let mut passing = Passing { shared, ask, start, replies, first_byte: begun.elapsed() };
-            passing.pass(answer).await
+            let mut forwarder =
+                ResponseForwarder { shared, req, start, replies, first_byte: begun.elapsed() };
+            forwarder.run(response).await
         }
-        Err(code) => cut(shared, ask, code, start).await,
+        Err(code) => end_early(shared, req, code, start).await,
     }
 }
 
-/// An engine that restarted or switched between the gate and the answer says so in its headers;
-/// without this check the caller would read an answer from other weights.
-fn check_answer(ask: &RunRequest, start: StartId, answer: Answer) -> Result<Answer, Code> {
-    ExpectedSource::new(start, ask.version)
-        .check_response(answer.start, answer.version)
-        .map(|()| answer)
+/// Checks the response headers against the gate. If the engine has restarted or switched versions
+/// since the request passed the gate, the response comes from other weights.
+fn check_response(
+    req: &RunRequest,
+    start: StartId,
+    response: EndpointResponse,
+) -> Result<EndpointResponse, Code> {
+    ExpectedSource::new(start, req.version)
+        .check_response(response.start, response.version)
+        .map(|()| response)
 }
 
-/// An answer on its way from the endpoint to the entry.
-struct Passing<'a> {
+/// Forwards a response from the endpoint to the entry.
+struct ResponseForwarder<'a> {
     shared: &'a Arc<Shared>,
-    ask: &'a RunRequest,
+    req: &'a RunRequest,
     start: StartId,
     replies: &'a ReplySink,
     first_byte: Duration,
 }
 
-impl Passing<'_> {
-    async fn pass(&mut self, mut answer: Answer) -> Ended {
+impl ResponseForwarder<'_> {
+    async fn run(&mut self, mut response: EndpointResponse) -> AttemptEnd {
         let head = RunFrame::Head {
-            attempt: self.ask.attempt,
-            status: answer.status,
-            content_type: answer.content_type.clone(),
-            version: answer.version,
+            attempt: self.req.attempt,
+            status: response.status,
+            content_type: response.content_type.clone(),
+            version: response.version,
         };
-        let mut left = self.send(head).await.is_err();
-        let mut kept = BytesMut::new();
+        let mut caller_left = self.send(head).await.is_err();
+        let mut stored = BytesMut::new();
         let mut frames = 0;
         loop {
-            if left && self.ask.idempotent {
-                return cut(self.shared, self.ask, Code::CallerLeft, self.start).await;
+            if caller_left && self.req.idempotent {
+                return end_early(self.shared, self.req, Code::CallerLeft, self.start).await;
             }
             let next = tokio::select! {
-                next = within_next(between_bytes_limit(self.shared, self.ask), &mut answer) => next,
-                () = self.replies.closed(), if self.ask.idempotent => Some(Err(Code::CallerLeft)),
+                next = next_bytes(idle_timeout(self.shared, self.req), &mut response) => next,
+                () = self.replies.closed(), if self.req.idempotent => Some(Err(Code::CallerLeft)),
             };
             let bytes = match next {
-                None => return self.whole(&answer, kept.freeze(), frames),
+                None => return self.complete(&response, stored.freeze(), frames),
                 Some(Ok(bytes)) => bytes,
-                Some(Err(code)) => return cut(self.shared, self.ask, code, self.start).await,
+                Some(Err(code)) => return end_early(self.shared, self.req, code, self.start).await,
             };
-            if self.ask.keep_response && kept.len() <= claim::MAX_STORED_RESPONSE_LEN {
-                kept.extend_from_slice(&bytes);
+            if self.req.keep_response && stored.len() <= claim::MAX_STORED_RESPONSE_LEN {
+                stored.extend_from_slice(&bytes);
             }
-            left = left || self.send_data(frames, bytes).await.is_err();
+            caller_left = caller_left || self.send_data(frames, bytes).await.is_err();
             frames += 1;
         }
     }
@@ -326,32 +340,38 @@
     }
 
     async fn send_data(&self, sequence: u32, bytes: Bytes) -> Result<(), Code> {
-        self.send(RunFrame::Data { attempt: self.ask.attempt, sequence, bytes }).await
+        self.send(RunFrame::Data { attempt: self.req.attempt, sequence, bytes }).await
     }
 
-    fn whole(&self, answer: &Answer, kept: Bytes, frames: u32) -> Ended {
-        let keeps = self.ask.keep_response && kept.len() <= claim::MAX_STORED_RESPONSE_LEN;
-        let kept = keeps.then(|| FullResponse {
-            status: answer.status,
-            content_type: answer.content_type.clone(),
-            body: kept,
+    fn complete(&self, response: &EndpointResponse, stored: Bytes, frames: u32) -> AttemptEnd {
+        let is_stored = self.req.keep_response && stored.len() <= claim::MAX_STORED_RESPONSE_LEN;
+        let stored = is_stored.then(|| FullResponse {
+            status: response.status,
+            content_type: response.content_type.clone(),
+            body: stored,
         });
-        Ended {
-            frame: RunFrame::End { attempt: self.ask.attempt, frames, load: Default::default() },
-            record: VoidReply::Ran(kept),
-            left: RequestEnd::Complete(self.first_byte),
+        AttemptEnd {
+            frame: RunFrame::End { attempt: self.req.attempt, frames, load: Default::default() },
+            state: VoidReply::Ran(stored),
+            request_end: RequestEnd::Complete(self.first_byte),
         }
     }
 }
 
-/// An attempt that ended without a whole answer: finds out whether its endpoint still lives.
-async fn cut(shared: &Arc<Shared>, ask: &RunRequest, code: Code, start: StartId) -> Ended {
-    let mut beside = load(shared).requests.saturating_sub(1);
+/// Ends an attempt without a complete response: cancels it if the caller left or a timeout expired,
+/// otherwise checks whether the endpoint process has ended.
+async fn end_early(
+    shared: &Arc<Shared>,
+    req: &RunRequest,
+    code: Code,
+    start: StartId,
+) -> AttemptEnd {
+    let mut concurrent = load(shared).requests.saturating_sub(1);
     let mut crashed = false;
     if code == Code::CallerLeft || code == Code::DeadlineDuringRun {
-        endpoint::cancel(shared.engine.base(), ask).await;
+        endpoint::cancel(shared.engine.base(), req).await;
     } else {
-        let found = endpoint::start_id(shared.engine.base()).await;
+        let found = endpoint::fetch_start_id(shared.engine.base()).await;
         crashed = match found {
             Ok(found) => found != start,
             Err(code) => code == Code::EndpointClosed,
@@ -360,47 +380,54 @@
             close_gate(shared, start);
         }
         if crashed {
-            beside = most_beside(shared, start, beside);
+            concurrent = max_concurrent_at_crash(shared, start, concurrent);
         }
     }
-    let record = match code.outcome() {
+    let state = match code.outcome() {
         Outcome::NotRun => VoidReply::Voided,
         Outcome::Ran | Outcome::Unknown => VoidReply::Unknown,
     };
-    let frame = RunFrame::Failed { attempt: ask.attempt, code, crashed, concurrent: beside };
-    Ended { frame, record, left: RequestEnd::Aborted }
+    let frame = RunFrame::Failed { attempt: req.attempt, code, crashed, concurrent };
+    AttemptEnd { frame, state, request_end: RequestEnd::Aborted }
 }
 
-/// How many ran beside a request when the life `start` ended. Those that it took with it leave one
-/// by one, so the last of them would look as if it had run alone.
-fn most_beside(shared: &Shared, start: StartId, beside: u32) -> u32 {
-    let mut last = lock(&shared.last_crash);
-    let most = if last.0 == start { last.1.max(beside) } else { beside };
-    *last = (start, most);
-    most
+/// Number of other requests in progress when the endpoint process `start` ended. The requests that
+/// fail with it are released one by one, so the last of them would seem to have run alone. This
+/// returns the highest number seen for the process.
+fn max_concurrent_at_crash(shared: &Shared, start: StartId, concurrent: u32) -> u32 {
+    let mut previous = lock(&shared.last_crash);
+    let max_concurrent = if previous.0 == start { previous.1.max(concurrent) } else { concurrent };
+    *previous = (start, max_concurrent);
+    max_concurrent
 }
 
-fn first_byte_limit(shared: &Shared, ask: &RunRequest) -> Duration {
-    if !ask.idempotent {
-        return UNREPEATABLE_WAIT;
+fn first_byte_timeout(shared: &Shared, req: &RunRequest) -> Duration {
+    if !req.idempotent {
+        return NON_IDEMPOTENT_TIMEOUT;
     }
     let limits = &shared.documents.in_force().config.limits;
-    Duration::from_millis(limits.first_byte_ms.min(ask.deadline_ms))
+    Duration::from_millis(limits.first_byte_ms.min(req.deadline_ms))
 }
 
-fn between_bytes_limit(shared: &Shared, ask: &RunRequest) -> Duration {
-    if !ask.idempotent {
-        return UNREPEATABLE_WAIT;
+fn idle_timeout(shared: &Shared, req: &RunRequest) -> Duration {
+    if !req.idempotent {
+        return NON_IDEMPOTENT_TIMEOUT;
     }
     Duration::from_millis(shared.documents.in_force().config.limits.between_bytes_ms)
 }
 
-async fn within<T>(limit: Duration, run: impl Future<Output = Result<T, Code>>) -> Result<T, Code> {
+async fn with_timeout<T>(
+    limit: Duration,
+    run: impl Future<Output = Result<T, Code>>,
+) -> Result<T, Code> {
     timeout(limit, run).await.unwrap_or(Err(Code::DeadlineDuringRun))
 }
 
-async fn within_next(limit: Duration, answer: &mut Answer) -> Option<Result<Bytes, Code>> {
-    timeout(limit, answer.next()).await.unwrap_or(Some(Err(Code::DeadlineDuringRun)))
+async fn next_bytes(
+    limit: Duration,
+    response: &mut EndpointResponse,
+) -> Option<Result<Bytes, Code>> {
+    timeout(limit, response.next()).await.unwrap_or(Some(Err(Code::DeadlineDuringRun)))
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/node/src/endpoint.rs
+++ b/node/src/endpoint.rs
@@ -1,9 +1,10 @@
-//! The calls that an agent passes to its endpoint, a fresh connection each.
+//! HTTP requests of an agent to its endpoint, each on a new connection.
 //!
-//! A connection that has been idle may be dead without either side knowing, and a request lost on
-//! it could not be told from one that ran; a fresh one proves by its opening that the endpoint
-//! hears, and a refused opening proves that nothing was sent. Dropping an [`Answer`] closes its
-//! connection, which is how an endpoint without a cancel call learns that nobody waits.
+//! An idle connection may be broken without either side having noticed, and a request lost on it
+//! could not be distinguished from one that ran. A successful connect shows that the endpoint
+//! accepts connections, and a failed one proves that nothing was sent. Dropping an
+//! [`EndpointResponse`] closes its connection, which cancels the request at an endpoint that has no
+//! cancel call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,48 +27,49 @@
 use tokio::task::JoinHandle;
 
 use crate::engine::Health;
-use crate::engine::scan_version;
+use crate::engine::parse_version;
 
-/// Result of a call.
+/// Result of a call to the endpoint.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// How long opening a connection may take; endpoint and agent share a host.
+/// Timeout of a connect. It is short because the endpoint runs on the agent's host.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long the endpoint may take to say what it is.
+/// Timeout of a health check or a cancellation.
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An open connection that nothing was sent on yet.
-pub struct Line {
+/// An open connection on which nothing has been sent.
+pub struct EndpointConnection {
     sender: http1::SendRequest<Full<Bytes>>,
-    connection: Connection,
+    connection: ConnectionTask,
     authority: String,
 }
 
-struct Connection(JoinHandle<()>);
+struct ConnectionTask(JoinHandle<()>);
 
-impl Drop for Connection {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// An answer whose head is here.
-pub struct Answer {
-    /// HTTP status.
+/// A response whose head was received.
+pub struct EndpointResponse {
+    /// HTTP status code.
     pub status: u16,
-    /// Content type.
+    /// Value of the `content-type` header; empty if missing.
     pub content_type: SmolStr,
-    /// The manifest that answers.
+    /// Manifest digest of the version that produced the response; `None` for plain endpoints.
     pub version: Option<Digest>,
-    /// The endpoint's life.
+    /// Start id of the endpoint process that produced the response, if it reported one.
     pub start: Option<StartId>,
     body: Incoming,
-    _connection: Connection,
+    _connection: ConnectionTask,
 }
 
-impl Answer {
-    /// The next bytes; `None` at the end of a whole answer.
+impl EndpointResponse {
+    /// Returns the next bytes of the body, or `None` at the end of a complete response. Fails with
+    /// [`Code::Truncated`].
     pub async fn next(&mut self) -> Option<Result<Bytes>> {
         loop {
             match self.body.frame().await? {
@@ -81,8 +83,8 @@
     }
 }
 
-/// Opens a connection to the endpoint at `base`; an error proves that nothing was sent.
-pub async fn open(base: &str) -> Result<Line> {
+/// Opens a connection to the endpoint at the URL `base`. An error proves that nothing was sent.
+pub async fn connect(base: &str) -> Result<EndpointConnection> {
     let uri: Uri = base.parse().map_err(|_| Code::EndpointClosed)?;
     let authority = uri.authority().ok_or(Code::EndpointClosed)?.to_string();
     let address: SocketAddr = authority.parse().map_err(|_| Code::EndpointClosed)?;
@@ -96,44 +98,45 @@
     let connection = tokio::spawn(async move {
         let _ = connection.await;
     });
-    Ok(Line { sender, connection: Connection(connection), authority })
+    Ok(EndpointConnection { sender, connection: ConnectionTask(connection), authority })
 }
 
-impl Line {
-    /// Sends `ask` and waits for the head of its answer.
-    pub async fn run(self, ask: &RunRequest) -> Result<Answer> {
+impl EndpointConnection {
+    /// Sends `req` and waits for the head of the response. Fails with [`Code::EndpointLost`] if the
+    /// connection breaks, so that it is unknown whether the request ran.
+    pub async fn send(self, req: &RunRequest) -> Result<EndpointResponse> {
         let request = Request::builder()
-            .method(ask.method.as_str())
-            .uri(ask.path.as_str())
+            .method(req.method.as_str())
+            .uri(req.path.as_str())
             .header("host", &self.authority)
-            .header("content-type", ask.content_type.as_str())
-            .header("x-request-id", request_name(ask))
-            .header("x-resume-after", ask.resume_after)
-            .header("x-priority", u32::from(ask.priority))
-            .body(Full::new(ask.body.clone()))
+            .header("content-type", req.content_type.as_str())
+            .header("x-request-id", request_id(req))
+            .header("x-resume-after", req.resume_after)
+            .header("x-priority", u32::from(req.priority))
+            .body(Full::new(req.body.clone()))
             .map_err(|_| Code::BadRequest)?;
-        let Line { mut sender, connection, .. } = self;
+        let EndpointConnection { mut sender, connection, .. } = self;
         let response = sender.send_request(request).await.map_err(|_| Code::EndpointLost)?;
         let header =
             |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok());
-        Ok(Answer {
+        Ok(EndpointResponse {
             status: response.status().as_u16(),
             content_type: SmolStr::new(header("content-type").unwrap_or_default()),
-            version: header("x-model-version").and_then(scan_version),
+            version: header("x-model-version").and_then(parse_version),
             start: header("x-start-id").and_then(|text| text.parse().ok()).map(StartId),
             body: response.into_body(),
             _connection: connection,
         })
     }
 
-    async fn whole(self, method: &str, path: &str, body: Bytes) -> Result<Bytes> {
+    async fn send_and_collect(self, method: &str, path: &str, body: Bytes) -> Result<Bytes> {
         let request = Request::builder()
             .method(method)
             .uri(path)
             .header("host", &self.authority)
             .body(Full::new(body))
             .map_err(|_| Code::BadRequest)?;
-        let Line { mut sender, connection, .. } = self;
+        let EndpointConnection { mut sender, connection, .. } = self;
         let response: Response<Incoming> =
             sender.send_request(request).await.map_err(|_| Code::EndpointLost)?;
         let bytes = response.into_body().collect().await.map_err(|_| Code::Truncated)?.to_bytes();
@@ -142,22 +145,24 @@
     }
 }
 
-/// Asks the endpoint at `base` for its present life.
-pub async fn start_id(base: &str) -> Result<StartId> {
-    let ask = async { open(base).await?.whole("GET", "/health", Bytes::new()).await };
+/// Fetches the current start id of the endpoint at the URL `base`.
+pub async fn fetch_start_id(base: &str) -> Result<StartId> {
+    let call =
+        async { connect(base).await?.send_and_collect("GET", "/health", Bytes::new()).await };
     let bytes =
-        tokio::time::timeout(HEALTH_TIMEOUT, ask).await.map_err(|_| Code::EndpointLost)??;
+        tokio::time::timeout(HEALTH_TIMEOUT, call).await.map_err(|_| Code::EndpointLost)??;
     let health: Health = serde_json::from_slice(&bytes).map_err(|_| Code::BadMessage)?;
     Ok(health.start_id)
 }
 
-/// Tells the endpoint at `base` that nobody waits for `ask` any more.
-pub async fn cancel(base: &str, ask: &RunRequest) {
-    let body = serde_json::json!({ "id": request_name(ask) }).to_string();
-    let ask = async { open(base).await?.whole("POST", "/admin/cancel", body.into()).await };
-    let _ = tokio::time::timeout(HEALTH_TIMEOUT, ask).await;
+/// Asks the endpoint at the URL `base` to cancel `req`. Errors are ignored.
+pub async fn cancel(base: &str, req: &RunRequest) {
+    let body = serde_json::json!({ "id": request_id(req) }).to_string();
+    let call =
+        async { connect(base).await?.send_and_collect("POST", "/admin/cancel", body.into()).await };
+    let _ = tokio::time::timeout(HEALTH_TIMEOUT, call).await;
 }
 
-fn request_name(ask: &RunRequest) -> String {
-    format!("{:032x}", ask.request.0)
+fn request_id(req: &RunRequest) -> String {
+    format!("{:032x}", req.request.0)
 }
--- a/node/src/engine.rs
+++ b/node/src/engine.rs
@@ -1,12 +1,12 @@
-//! The model engine's interface over HTTP: the one file that knows its paths and headers.
+//! The HTTP interface of a model engine, and a client of its administrative calls.
 //!
-//! | call | request | answer |
+//! | call | request | response |
 //! | --- | --- | --- |
 //! | health | `GET /health` | [`Health`] as JSON |
-//! | load | `POST /admin/load` with [`LoadOrder`] | 200, 409 when the fence is old |
-//! | unload | `POST /admin/unload` with [`Fence`] | 200, 409 |
+//! | load | `POST /admin/load` with [`LoadOrder`] | 200, or 409 if the fence is stale |
+//! | unload | `POST /admin/unload` with [`Fence`] | 200, or 409 if the fence is stale |
 //! | cancel | `POST /admin/cancel` with `{"id": …}` | 200 |
-//! | run | `POST /v1/chat/completions` with `x-request-id`, `x-resume-after` | the answer, with `x-start-id` and `x-model-version` |
+//! | run | `POST /v1/chat/completions` with `x-request-id`, `x-resume-after` | the completion, with `x-start-id` and `x-model-version` |
 
 use mastichaven_core::Code;
 use mastichaven_core::ids::Digest;
@@ -22,95 +22,96 @@
 /// Result of a call to the engine.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// Seconds an administrative call may take.
+/// Timeout of a health check, an unload or a cancellation.
 const ADMIN_TIMEOUT_SECONDS: u64 = 2;
 
-/// Seconds loading a version may take.
+/// Timeout of loading a version.
 const LOAD_TIMEOUT_SECONDS: u64 = 600;
 
-/// Bytes of an answer to an administrative call at most.
-const MAX_ANSWER_LEN: usize = 64 << 10;
+/// Maximum size of the response to an administrative call in bytes.
+const MAX_RESPONSE_LEN: usize = 64 << 10;
 
-/// What the engine has loaded.
+/// The version that an engine has loaded.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Loaded {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Digest of the manifest, in hexadecimal.
+    /// Manifest digest in hexadecimal.
     pub version: SmolStr,
 }
 
-/// What the engine says of itself; its load figures lag.
+/// Health report of an engine. Its load figure lags.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Health {
-    /// Its life.
+    /// Identifies the start of the engine's process.
     pub start_id: StartId,
-    /// What it has loaded and answers from.
+    /// The version that it answers from; `None` if it has none.
     pub loaded: Option<Loaded>,
-    /// Requests it works on.
+    /// Number of requests in progress.
     pub running: u32,
 }
 
 /// Orders the engine to load a version.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadOrder {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Digest of the manifest, in hexadecimal.
+    /// Manifest digest in hexadecimal.
     pub version: SmolStr,
-    /// Where the engine reads the whole weights from.
+    /// URL from which the engine reads the complete weights.
     pub source: String,
-    /// Fencing token.
+    /// Fencing token; the engine refuses an order with a lower one than it has accepted.
     pub fence: Fence,
 }
 
-/// The engine at an address.
+/// Client of the engine at one base URL.
 #[derive(Clone, Debug)]
 pub struct Engine {
     base: String,
 }
 
 impl Engine {
-    /// The engine at `base`, such as `http://127.0.0.1:5000`.
+    /// Creates a client for the engine at the URL `base`, such as `http://127.0.0.1:5000`.
     pub fn new(base: impl Into<String>) -> Engine {
         Engine { base: base.into() }
     }
 
-    /// Its base address.
+    /// Base URL of the engine.
     pub fn base(&self) -> &str {
         &self.base
     }
 
-    /// Asks the engine what it is.
+    /// Fetches the health report. Fails with [`Code::Unreachable`] or [`Code::BadMessage`].
     pub fn health(&self) -> Result<Health> {
         let request =
             minreq::get(format!("{}/health", self.base)).with_timeout(ADMIN_TIMEOUT_SECONDS);
-        let fetched = fetch(request, MAX_ANSWER_LEN).map_err(|_| Code::Unreachable)?;
-        serde_json::from_slice(&fetched.body).map_err(|_| Code::BadMessage)
+        let response = fetch(request, MAX_RESPONSE_LEN).map_err(|_| Code::Unreachable)?;
+        serde_json::from_slice(&response.body).map_err(|_| Code::BadMessage)
     }
 
-    /// Orders the engine to load a version.
+    /// Orders the engine to load a version, and waits until it answers. Fails with
+    /// [`Code::StaleOrder`] if the fence is stale, otherwise with [`Code::OrderIgnored`].
     pub fn load(&self, order: &LoadOrder) -> Result<()> {
-        self.order("load", order, LOAD_TIMEOUT_SECONDS)
+        self.send_order("load", order, LOAD_TIMEOUT_SECONDS)
     }
 
-    /// Orders the engine to drop what it has loaded.
+    /// Orders the engine to unload its version. Fails like [`Engine::load`].
     pub fn unload(&self, fence: Fence) -> Result<()> {
-        self.order("unload", &fence, ADMIN_TIMEOUT_SECONDS)
+        self.send_order("unload", &fence, ADMIN_TIMEOUT_SECONDS)
     }
 
-    /// Tells the engine that nobody waits for a request any more.
+    /// Cancels the request with this `x-request-id`. Fails like [`Engine::load`].
     pub fn cancel(&self, id: &str) -> Result<()> {
-        self.order("cancel", &serde_json::json!({ "id": id }), ADMIN_TIMEOUT_SECONDS)
+        self.send_order("cancel", &serde_json::json!({ "id": id }), ADMIN_TIMEOUT_SECONDS)
     }
 
-    fn order<T: Serialize>(&self, what: &str, body: &T, timeout_seconds: u64) -> Result<()> {
+    fn send_order<T: Serialize>(&self, action: &str, body: &T, timeout_seconds: u64) -> Result<()> {
         let body = serde_json::to_vec(body).expect("orders always encode");
-        let request = minreq::post(format!("{}/admin/{what}", self.base))
+        let request = minreq::post(format!("{}/admin/{action}", self.base))
             .with_body(body)
             .with_timeout(timeout_seconds);
-        let fetched = fetch(request, MAX_ANSWER_LEN).map_err(|_| Code::OrderIgnored)?;
-        match fetched.status {
+        let response = fetch(request, MAX_RESPONSE_LEN).map_err(|_| Code::OrderIgnored)?;
+        match response.status {
             200 => Ok(()),
             409 => Err(Code::StaleOrder),
             _ => Err(Code::OrderIgnored),
@@ -118,7 +119,7 @@
     }
 }
 
-/// Reads a digest from an engine's header or health report.
-pub fn scan_version(text: &str) -> Option<Digest> {
+/// Parses the version in a header or a health report of an engine.
+pub fn parse_version(text: &str) -> Option<Digest> {
     Digest::from_hex(text)
 }
