--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -35,8 +35,8 @@
 use mastichaven_core::share::EntryShares;
 use mastichaven_core::swarm::PeerLocation;
 use mastichaven_core::swarm::Strategy;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use mastichaven_core::wire::Sender;
 use serde_json::Value;
 use serde_json::json;
@@ -151,13 +151,13 @@
         }
     }
 
-    fn ask(&self, body: AskBody) -> Ask {
+    fn ask(&self, body: RequestBody) -> RequestMessage {
         let from = Sender {
             host: self.settings.place.host.clone(),
             incarnation: self.incarnation,
             generation: self.documents.in_force().generation,
         };
-        Ask { from, body }
+        RequestMessage { from, body }
     }
 
     /// The model that this host must serve, with the revision of its plan and the plan. A takeover
@@ -369,7 +369,7 @@
         Shared::member(self)
     }
 
-    fn ask(&self, body: AskBody) -> Ask {
+    fn ask(&self, body: RequestBody) -> RequestMessage {
         Shared::ask(self, body)
     }
 
--- a/node/src/direct/swarm/serving.rs
+++ b/node/src/direct/swarm/serving.rs
@@ -18,7 +18,7 @@
 use super::SwarmHost;
 use super::pulls::Chunks;
 use super::pulls::Pull;
-use crate::direct::link;
+use crate::direct::connection;
 use crate::direct::peers;
 use crate::direct::peers::PeerReply;
 use crate::direct::peers::PeerRequest;
@@ -49,13 +49,13 @@
     }
 
     async fn serve_peer(&self, mut stream: TcpStream) -> std::io::Result<()> {
-        link::prepare(&stream)?;
+        connection::set_socket_options(&stream)?;
         let req: PeerRequest = peers::read(&mut stream).await?;
         let reply = match req {
             PeerRequest::Have { version } => self.tell_have(version),
             PeerRequest::Manifest { version } => self.tell_manifest(version).await,
             PeerRequest::Chunk { .. } if self.sending.get() >= BUSY_QUEUE => PeerReply::Busy,
-            PeerRequest::Chunk { version, digest, park } => {
+            PeerRequest::Chunk { version, digest, may_wait: park } => {
                 match self.find_chunk(version, digest, park).await {
                     Some(chunk) => return self.send_chunk(&mut stream, &chunk).await,
                     None => PeerReply::Absent,
