--- a/node/src/direct/peers.rs
+++ b/node/src/direct/peers.rs
@@ -214,16 +214,16 @@
 ) -> io::Result<()> {
     write(stream, &PeerReply::ChunkFollows(chunk.len() as u32)).await?;
     for piece in chunk.chunks(PIECE_LEN) {
-        expect_byte(stream, REQUEST_PIECE).await?;
+        expect(stream, REQUEST_PIECE).await?;
         let _permit = send_permits.acquire().await.map_err(io::Error::other)?;
         stream.write_all(piece).await?;
-        let arrived = timeout(PIECE_TIMEOUT, expect_byte(stream, PIECE_RECEIVED)).await;
+        let arrived = timeout(PIECE_TIMEOUT, expect(stream, PIECE_RECEIVED)).await;
         arrived.unwrap_or_else(|_| Err(io::Error::from(io::ErrorKind::TimedOut)))?;
     }
     Ok(())
 }
 
-async fn expect_byte(stream: &mut TcpStream, expected: u8) -> io::Result<()> {
+async fn expect(stream: &mut TcpStream, expected: u8) -> io::Result<()> {
     let byte = stream.read_u8().await?;
     if byte == expected { Ok(()) } else { Err(invalid_data()) }
 }
--- a/node/src/direct/publisher.rs
+++ b/node/src/direct/publisher.rs
@@ -73,9 +73,9 @@
     match hello.map_err(|_| ReplicationError::TimedOut)?? {
         Hello::Follow { ip, config_version } => {
             let follower = Rc::new(Outbox::new(ip));
-            let ended = serve_follower(state, stream, &follower, config_version).await;
+            let result = serve_follower(state, stream, &follower, config_version).await;
             state.publisher.followers.borrow_mut().retain(|other| !Rc::ptr_eq(other, &follower));
-            ended
+            result
         }
         Hello::Peers { service, known_id } => {
             if state.is_synced() {
@@ -105,8 +105,8 @@
     }
     state.publisher.followers.borrow_mut().push(follower.clone());
     tokio::select! {
-        ended = answer_pings(state, &mut read, follower) => ended,
-        ended = send_frames(write, follower) => ended,
+        result = answer_pings(state, &mut read, follower) => result,
+        result = send_frames(write, follower) => result,
     }
 }
 
--- a/node/src/direct/replication.rs
+++ b/node/src/direct/replication.rs
@@ -60,7 +60,8 @@
     TimedOut,
     /// The state of the parent is too old.
     Stale,
-    /// The parent is shutting down, too deep in the tree, or cannot read the store.
+    /// The parent accepts no followers: it is shutting down, too deep in the tree, cannot read the
+    /// store, or follows this entry.
     NotAvailable,
     /// Agents nominate another parent.
     OtherNominated,
@@ -208,7 +209,7 @@
     let mut probe = StoreProbe::new(&state);
     let mut lost_at = None;
     loop {
-        let (ended, has_followed) = follow_nominated(&state).await;
+        let (reason, has_followed) = follow_nominated(&state).await;
         let now = state.now();
         if has_followed {
             lost_at = Some(now);
@@ -221,7 +222,7 @@
             SUCCESSION_RETRY_DELAY
         } else {
             if probe.run_if_due(&state).await {
-                state.detach(ended);
+                state.detach(reason);
             }
             state.successors.borrow_mut().clear();
             DETACHED_RETRY_DELAY
@@ -252,20 +253,20 @@
 /// Follows nominated entries one after the other until there is no untried candidate. Returns why
 /// the last one was left and whether any was followed.
 async fn follow_nominated(state: &Rc<State>) -> (ReplicationError, bool) {
-    let mut ended = ReplicationError::NoParent;
+    let mut reason = ReplicationError::NoParent;
     let mut has_followed = false;
     let mut tried = Vec::new();
     while let Some(parent) = state.next_parent(&tried) {
         let is_established = Cell::new(false);
-        ended = follow_one(state, parent, &is_established).await;
+        reason = follow_one(state, parent, &is_established).await;
         has_followed |= is_established.get();
-        if ended == ReplicationError::OtherNominated {
+        if reason == ReplicationError::OtherNominated {
             tried.clear();
         } else {
             tried.push(parent);
         }
     }
-    (ended, has_followed)
+    (reason, has_followed)
 }
 
 /// Follows `parent` until it is lost or another one is nominated, and returns the reason.
--- a/node/src/direct/replication/parent.rs
+++ b/node/src/direct/replication/parent.rs
@@ -59,8 +59,8 @@
     peers::write(&mut stream, &hello).await?;
     let (mut read, write) = stream.into_split();
     tokio::select! {
-        ended = send_pings(state, write) => ended,
-        ended = receive(state, &mut read, parent, pinged_at, is_established) => ended,
+        result = send_pings(state, write) => result,
+        result = receive(state, &mut read, parent, pinged_at, is_established) => result,
         () = until_stale(state, is_established) => Err(ReplicationError::Stale),
         () = until_other_nominated(state, parent) => Ok(()),
     }
--- a/node/src/direct/watch.rs
+++ b/node/src/direct/watch.rs
@@ -1,7 +1,7 @@
 //! Reads the store: one task per kind of object lists the kind, then watches it.
 //!
-//! A list returns a snapshot and a watch returns changes; [`StoreWatcher::apply_objects`] and
-//! [`StoreWatcher::apply_changes`] apply them. After a failure the task waits for a jittered
+//! A list returns a snapshot and a watch returns changes; `StoreWatcher::apply_objects` and
+//! `StoreWatcher::apply_changes` apply them. After a failure the task waits for a jittered
 //! exponential backoff and then sends a watch that returns at once, which also renews the lease on
 //! the configuration.
 
@@ -47,7 +47,7 @@
 /// available again.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// Bounds of the delay between lists of a configuration that keeps changing. In between, the delay
+/// Bounds of the delay between lists of a configuration that keeps changing. Within them, the delay
 /// equals the duration of the list, which leaves half of the link to other traffic.
 const MIN_CATCH_UP_DELAY: Duration = Duration::from_millis(20);
 const MAX_CATCH_UP_DELAY: Duration = Duration::from_millis(400);
@@ -129,8 +129,8 @@
     /// older versions would be excluded at once, and after each store outage callers would be
     /// refused for lack of weights. The time of an outage itself does not count.
     fn change_age_bound(&self, sent_at: Time) -> Option<Duration> {
-        let seen = self.state.confirmed_at.borrow().get(&self.kind).copied()?;
-        Some(if self.is_failing() { Duration::ZERO } else { sent_at.since(seen) })
+        let last_confirmed = self.state.confirmed_at.borrow().get(&self.kind).copied()?;
+        Some(if self.is_failing() { Duration::ZERO } else { sent_at.since(last_confirmed) })
     }
 
     /// Watches changes after `revision` until a list is needed.
@@ -228,8 +228,8 @@
     /// the configuration counts from `sent_at`.
     fn confirm_unchanged(&self, sent_at: Time, timeout: Duration) {
         if self.kind != Kind::Config {
-            let seen = (sent_at + timeout).min(self.state.now());
-            self.state.confirmed_at.borrow_mut().insert(self.kind, seen);
+            let confirmed_at = (sent_at + timeout).min(self.state.now());
+            self.state.confirmed_at.borrow_mut().insert(self.kind, confirmed_at);
         }
     }
 
