--- a/node/src/direct/peers.rs
+++ b/node/src/direct/peers.rs
@@ -22,7 +22,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-use super::link;
+use super::connection;
 
 /// Maximum length of an encoded message, in bytes.
 pub const MAX_MESSAGE_LEN: u32 = 8 << 20;
@@ -129,7 +129,7 @@
 ) -> Result<T> {
     let mut stream = connect(address).await?;
     let exchange = async {
-        link::prepare(&stream)?;
+        connection::set_socket_options(&stream)?;
         write(&mut stream, req).await?;
         read(&mut stream).await
     };
@@ -171,7 +171,7 @@
 ) -> Result<std::result::Result<Bytes, PeerReply>> {
     let mut stream = connect(address).await?;
     let exchange = async {
-        link::prepare(&stream)?;
+        connection::set_socket_options(&stream)?;
         write(&mut stream, req).await?;
         read(&mut stream).await
     };
@@ -250,7 +250,7 @@
     stream.flush().await
 }
 
-/// Encodes a message with its length prefix, compressed from [`MIN_COMPRESSED_LEN`] on.
+/// Encodes a message with its length prefix, compressed if it is long.
 pub fn encode<T: Serialize>(message: &T) -> io::Result<Vec<u8>> {
     let mut body = postcard::to_stdvec(message).map_err(io::Error::other)?;
     let mut flag = 0;
--- a/node/src/direct/state.rs
+++ b/node/src/direct/state.rs
@@ -36,7 +36,7 @@
 use super::chunk_cache::ChunkCache;
 use super::followers::Publisher;
 use super::metrics::Metrics;
-use super::pool::Pool;
+use super::pool::ConnectionPool;
 use super::settings::DirectSettings;
 use crate::clock::BootClock;
 
@@ -86,7 +86,7 @@
     /// Announced versions of each model.
     pub versions: RefCell<HashMap<SmolStr, Versions>>,
     /// Idle connections to endpoints.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// Notified when an endpoint may accept another request.
     pub capacity_freed: Notify,
     /// Notified when a new version is announced.
@@ -145,7 +145,7 @@
             has_had_fresh_endpoints: Cell::new(false),
             freshness: RefCell::new(Freshness::new(lease)),
             versions: RefCell::default(),
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             capacity_freed: Notify::new(),
             version_announced: Notify::new(),
             is_stopping: Cell::new(false),
