--- a/node/src/direct/updates.rs
+++ b/node/src/direct/updates.rs
@@ -53,11 +53,11 @@
                 versions.get(model).is_some_and(|versions| versions.newest() >= *version)
             }
             Update::Config(parts) => {
-                self.config_version().is_some_and(|known| known >= parts.version)
+                self.config_version().is_some_and(|current| current >= parts.version)
             }
             Update::Endpoints { as_of, .. } => {
-                let known = self.endpoints.borrow().as_of();
-                known != Revision::default() && *as_of <= known && self.is_following.get()
+                let current = self.endpoints.borrow().as_of();
+                current != Revision::default() && *as_of <= current && self.is_following.get()
             }
             _ => false,
         }
@@ -227,8 +227,8 @@
 
     /// `announced_at` is `None` if the time of the announcement is unknown.
     fn apply_weights(&self, model: &SmolStr, version: u64, announced_at: Option<Time>) {
-        let mut known = self.versions.borrow_mut();
-        let is_new = match (known.get_mut(model), announced_at) {
+        let mut by_model = self.versions.borrow_mut();
+        let is_new = match (by_model.get_mut(model), announced_at) {
             (Some(versions), Some(at))
                 if self.is_following.get() && versions.newest() >= version =>
             {
@@ -244,15 +244,15 @@
             (None, _) if announced_at.is_some() || self.has_read_weights() => {
                 let mut versions = Versions::new(0);
                 versions.record_announcement(version, announced_at.unwrap_or(self.now()));
-                known.insert(model.clone(), versions);
+                by_model.insert(model.clone(), versions);
                 true
             }
             (None, _) => {
-                known.insert(model.clone(), Versions::new(version));
+                by_model.insert(model.clone(), Versions::new(version));
                 true
             }
         };
-        drop(known);
+        drop(by_model);
         if !is_new {
             return;
         }
