--- a/node/src/direct/agent.rs
+++ b/node/src/direct/agent.rs
@@ -39,7 +39,7 @@
 use super::relay::AnswerBody;
 use super::settings::DirectSettings;
 use super::staging::Staging;
-use super::swarm::SwarmHost;
+use super::swarm::SwarmDriver;
 use crate::clock::BootClock;
 
 /// Time of a load before the first one.
@@ -56,7 +56,7 @@
     log: slog::Logger,
     metrics: Rc<Metrics>,
     staging: Rc<Staging>,
-    swarm: Rc<SwarmHost>,
+    swarm: Rc<SwarmDriver>,
     place: PeerLocation,
     /// What is known of the own service, from which version of the configuration.
     setup: RefCell<Option<SetupUpdate>>,
@@ -95,7 +95,7 @@
         PeerLocation { host: host_at(endpoint), zone: cfg.zone.clone(), region: cfg.region() };
     let root = log.root.clone();
     let port = cfg.agent_port;
-    let swarm = SwarmHost::new(&place, clock, root, metrics.clone(), staging.clone(), port);
+    let swarm = SwarmDriver::new(&place, clock, root, metrics.clone(), staging.clone(), port);
     let agent = Rc::new(Agent {
         cfg,
         clock,
--- a/node/src/direct/agent/loading.rs
+++ b/node/src/direct/agent/loading.rs
@@ -32,11 +32,12 @@
         loop {
             sleep(LOAD_POLL).await;
             let is_held = |target: Target| self.held().is_some_and(|held| held >= target.version);
-            if self.swarm.is_newer_complete() || self.swarm.loadable().is_some_and(is_held) {
+            if self.swarm.is_newer_complete() || self.swarm.loadable_version().is_some_and(is_held)
+            {
                 // An older version that is loaded or overtaken makes room for the newer one.
-                self.swarm.drop_older().await;
+                self.swarm.drop_older_version().await;
             }
-            let Some(target) = self.swarm.loadable() else {
+            let Some(target) = self.swarm.loadable_version() else {
                 continue;
             };
             let is_busy = self.report.borrow().as_ref().is_none_or(|report| report.is_busy);
@@ -77,7 +78,7 @@
         }
         let ordered = self.order_checked(target).await;
         if ordered {
-            self.swarm.drop_older().await;
+            self.swarm.drop_older_version().await;
             self.wait_for(target.version).await;
         }
         self.is_ordering.set(false);
@@ -101,7 +102,7 @@
 
     /// Orders the load of a version that has just been read once more.
     async fn order_checked(&self, target: &Target) -> bool {
-        if !self.swarm.check_staged(target).await {
+        if !self.swarm.verify_staged(target).await {
             return false;
         }
         let may_cut = self.may_cut();
--- a/node/src/direct/agent/reports.rs
+++ b/node/src/direct/agent/reports.rs
@@ -76,7 +76,7 @@
             let (near, beside_origin) = self.subscribers.borrow().caches(self.clock.now());
             self.swarm.set_caches(near, beside_origin);
             // Only a link that carries no live requests is free for weights.
-            self.swarm.set_beside_requests(!report.load.weights.is_empty());
+            self.swarm.set_link_shared(!report.load.weights.is_empty());
             let mut load = report.load.clone();
             load.is_accepting &= !self.is_ordering.get();
             let now = self.clock.now();
--- a/node/src/direct/agent/setup.rs
+++ b/node/src/direct/agent/setup.rs
@@ -232,7 +232,7 @@
         let now = self.clock.now();
         self.newest.set(Some((version, now)));
         self.versions.borrow_mut().record_announcement(version, now);
-        self.swarm.want(model, version, self.held());
+        self.swarm.set_wanted_version(model, version, self.held());
         self.updated.notify_one();
     }
 }
--- a/node/src/direct/chunk_cache.rs
+++ b/node/src/direct/chunk_cache.rs
@@ -16,7 +16,7 @@
 use tokio::sync::Notify;
 use tokio::sync::Semaphore;
 
-use super::swarm::KEPT_SHARE;
+use super::swarm::MIN_FRACTION_TO_FINISH;
 
 /// How long a chunk that cannot be had is tried for after somebody has asked for it last.
 const WANTED_FOR: Duration = Duration::from_millis(1_500);
@@ -142,8 +142,9 @@
         }
         let slots = self.slots.borrow();
         let older = slots.values().filter(|slot| slot.model == req.model);
-        let left =
-            older.map(|slot| slot.version).filter(|one| share_here(&slots, req, *one) < KEPT_SHARE);
+        let left = older
+            .map(|slot| slot.version)
+            .filter(|one| share_here(&slots, req, *one) < MIN_FRACTION_TO_FINISH);
         let left = left.collect();
         newest.insert(req.model.clone(), Newest { version: req.version, since: now, left });
     }
--- a/node/src/direct/chunk_server.rs
+++ b/node/src/direct/chunk_server.rs
@@ -143,7 +143,7 @@
         Ok(Err(PeerReply::NotYet)) => Err(NotFetched::Later),
         Ok(Err(_)) => Err(NotFetched::Failed),
         Err(e) => {
-            slog::info!(state.log, "chunk not received"; "entry" => address.to_string(),
+            slog::info!(state.log, "chunk request failed"; "entry" => address.to_string(),
                 "version" => req.version, "error" => e.as_str());
             Err(NotFetched::Failed)
         }
@@ -172,7 +172,7 @@
             None
         }
         Err(e) => {
-            slog::info!(state.log, "chunk not received"; "entry" => address.to_string(),
+            slog::info!(state.log, "chunk request failed"; "entry" => address.to_string(),
                 "version" => req.version, "error" => e.as_str());
             None
         }
--- a/node/src/direct/swarm.rs
+++ b/node/src/direct/swarm.rs
@@ -1,4 +1,4 @@
-//! Carries out what the swarm decides: pulls chunks, checks them, stages them, serves them to peers.
+//! Performs the I/O of [`Swarm`]: downloads chunks, verifies and stages them, and serves them to peers.
 
 mod pulls;
 mod serving;
@@ -41,53 +41,55 @@
 use super::staging::Staging;
 use crate::clock::BootClock;
 
-/// How often the swarm decides while chunks are missing and nothing else wakes it.
-const STEP: Duration = Duration::from_millis(40);
+/// Interval between scheduling steps while chunks are missing and no event triggers one.
+const STEP_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Chunks under way at once. What fills the link is bounded by pieces; more chunks than pieces keep it
-/// busy while some peers are slow. Two at a time from the origin keep its link busy.
-const PACE: PipelineLimits =
+/// Limits of the chunk requests in flight. The number of pieces in flight bounds the load of the link; a larger
+/// number of chunks keeps the link busy while some peers are slow. Two concurrent requests are enough to keep
+/// the origin's link busy.
+const PIPELINE_LIMITS: PipelineLimits =
     PipelineLimits { exclusive_link: 10, shared_link: 8, per_peer: 2, from_origin: 2 };
 
-/// Longest wait before an origin that failed is asked again. While it is away no host may have the version, and
-/// none may answer once the older one has passed its bound.
-const ORIGIN_RETRY_LONGEST: Duration = Duration::from_millis(250);
+/// Maximum delay before a failed origin is retried. During an origin outage there may be no host with the
+/// newest version, and no host may respond once the older one exceeds its age bound.
+const MAX_ORIGIN_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Share of a version's chunks near from which on it is still finished when a newer one is named. What
-/// is near comes from peers, also while the origin is down: then the newer version cannot come, and
-/// without the older one no endpoint may answer once the one before that has passed its bound. What is
-/// known of peers lags, and much of a version may come meanwhile, so a part of it is enough.
-pub(super) const KEPT_SHARE: f64 = 0.35;
+/// Minimum fraction of a version's chunks available from peers at which its download continues after a newer
+/// version is announced. Such chunks can be fetched while the origin is down. In that case the newer version
+/// cannot be downloaded, and without the older one no endpoint may respond once the version that it serves
+/// exceeds its age bound. The known availability lags and much of a version may arrive in the meantime, so a
+/// fraction is sufficient.
+pub(super) const MIN_FRACTION_TO_FINISH: f64 = 0.35;
 
-/// Names a version of a model among agents.
+/// Identifier of a version of a model in requests between agents.
 pub fn version_digest(model: &str, version: u64) -> Digest {
     Digest::of(format!("{model}@{version}").as_bytes())
 }
 
-/// The swarm of one agent with its sockets.
+/// The swarm state of one agent, the downloads in progress and the addresses of its sources.
 #[derive(Debug)]
-pub struct SwarmHost {
+pub struct SwarmDriver {
     clock: BootClock,
     log: slog::Logger,
     metrics: Rc<Metrics>,
     staging: Rc<Staging>,
     swarm: RefCell<Swarm>,
     addresses: RefCell<HashMap<HostName, SocketAddr>>,
-    /// The entries that hand out chunks, and the port at which they do.
+    /// The entries that serve chunks; they listen on `cache_port`.
     caches: RefCell<Caches>,
     cache_port: u16,
     origin: Cell<Option<SocketAddr>>,
-    /// The version that is staged, then perhaps a newer one that waits in memory.
+    /// The version that is being staged, followed by a newer one that is buffered in memory, if there is one.
     pulls: RefCell<Vec<Pull>>,
-    sending: Cell<u32>,
-    link_turn: Semaphore,
-    intake: Semaphore,
+    uploads: Cell<u32>,
+    upload_slots: Semaphore,
+    download_slots: Semaphore,
     changed: Notify,
     rng: RefCell<SmallRng>,
 }
 
-impl SwarmHost {
-    /// The swarm of the agent at `me`.
+impl SwarmDriver {
+    /// Creates the driver of the agent at `me`; `cache_port` is the port at which entries serve chunks.
     pub fn new(
         me: &PeerLocation,
         clock: BootClock,
@@ -95,11 +97,11 @@
         metrics: Rc<Metrics>,
         staging: Rc<Staging>,
         cache_port: u16,
-    ) -> SwarmHost {
+    ) -> SwarmDriver {
         let mut swarm = Swarm::new(me, Strategy::Swarm);
-        swarm.set_max_origin_retry_delay(ORIGIN_RETRY_LONGEST);
-        swarm.set_pipeline_limits(PACE);
-        SwarmHost {
+        swarm.set_max_origin_retry_delay(MAX_ORIGIN_RETRY_DELAY);
+        swarm.set_pipeline_limits(PIPELINE_LIMITS);
+        SwarmDriver {
             clock,
             log,
             metrics,
@@ -110,46 +112,49 @@
             cache_port,
             origin: Cell::new(None),
             pulls: RefCell::default(),
-            sending: Cell::new(0),
-            link_turn: Semaphore::new(PIECES_OUT),
-            intake: Semaphore::new(PIECES_IN),
+            uploads: Cell::new(0),
+            upload_slots: Semaphore::new(PIECES_OUT),
+            download_slots: Semaphore::new(PIECES_IN),
             changed: Notify::new(),
             rng: RefCell::new(SmallRng::from_rng(&mut rand::rng())),
         }
     }
 
-    /// Takes in the agents that take part, this one among them.
+    /// Replaces the agents that participate, including this one. Chunks enter the region of the origin first.
     pub fn set_peers(
         &self,
-        places: &[(PeerLocation, SocketAddr)],
+        locations: &[(PeerLocation, SocketAddr)],
         origin_region: Option<&RegionName>,
     ) {
-        let peers: Vec<PeerLocation> = places.iter().map(|(place, _)| place.clone()).collect();
+        let peers: Vec<PeerLocation> =
+            locations.iter().map(|(location, _)| location.clone()).collect();
         self.swarm.borrow_mut().set_peers(&peers, origin_region);
-        let addresses = places.iter().map(|(place, address)| (place.host.clone(), *address));
+        let addresses =
+            locations.iter().map(|(location, address)| (location.host.clone(), *address));
         *self.addresses.borrow_mut() = addresses.collect();
     }
 
-    /// Takes in the entries that hand out chunks: those of this region, and those of the origin's.
-    pub fn set_caches(&self, near: Vec<IpAddr>, beside_origin: Vec<IpAddr>) {
-        self.caches.borrow_mut().set(near, beside_origin);
-        self.follow_caches();
+    /// Replaces the entries that serve chunks: those of this region and those of the origin's region.
+    pub fn set_caches(&self, regional: Vec<IpAddr>, in_origin_region: Vec<IpAddr>) {
+        self.caches.borrow_mut().set(regional, in_origin_region);
+        self.update_cache_availability();
     }
 
-    /// Updates whether the swarm may ask caches.
-    fn follow_caches(&self) {
+    /// Updates whether the swarm may send requests to entries.
+    fn update_cache_availability(&self) {
         let are_available = self.caches.borrow().are_available(self.clock.now());
         self.swarm.borrow_mut().set_caches(are_available);
     }
 
-    /// Where weights come from.
+    /// Sets the address of the origin; `None` until the setup is known.
     pub fn set_origin(&self, origin: Option<SocketAddr>) {
         self.origin.set(origin);
     }
 
-    /// The version that this host is to have. The one before it goes on beside it only if most of it is
-    /// near and `held`, what the endpoint has loaded, is older.
-    pub fn want(&self, model: &SmolStr, version: u64, held: Option<u64>) {
+    /// Sets the version to download. The download of the previous version continues only if it is newer than
+    /// `held`, the version that the endpoint has loaded, and at least [`MIN_FRACTION_TO_FINISH`] of its chunks
+    /// are available from peers.
+    pub fn set_wanted_version(&self, model: &SmolStr, version: u64, held: Option<u64>) {
         let digest = version_digest(model, version);
         let target = Target { model: model.clone(), version, digest };
         let mut pulls = self.pulls.borrow_mut();
@@ -157,56 +162,56 @@
             return;
         }
         pulls.truncate(1);
-        let is_held = |pull: &Pull| held.is_some_and(|held| held >= pull.target.version);
+        let is_superseded = |pull: &Pull| held.is_some_and(|held| held >= pull.target.version);
         let share = |pull: &Pull| self.swarm.borrow().available_share(pull.target.digest);
-        pulls.retain(|pull| !is_held(pull) && share(pull) >= KEPT_SHARE);
+        pulls.retain(|pull| !is_superseded(pull) && share(pull) >= MIN_FRACTION_TO_FINISH);
         pulls.push(Pull::new(target, self.clock.now()));
         drop(pulls);
-        self.follow_pulls();
+        self.update_wanted_versions();
     }
 
-    /// Tells the swarm which versions are wanted now.
-    fn follow_pulls(&self) {
+    /// Passes the wanted versions to the swarm.
+    fn update_wanted_versions(&self) {
         let pulls = self.pulls.borrow();
         let wanted: Vec<Digest> = pulls.iter().map(|pull| pull.target.digest).collect();
         self.swarm.borrow_mut().set_wanted_versions(&wanted, self.clock.now());
         self.changed.notify_waiters();
     }
 
-    /// Whether live requests run on this host's link.
-    pub fn set_beside_requests(&self, beside: bool) {
-        self.swarm.borrow_mut().set_link_shared(beside);
+    /// Sets whether requests of callers use this host's link, which limits the chunk requests in flight.
+    pub fn set_link_shared(&self, is_shared: bool) {
+        self.swarm.borrow_mut().set_link_shared(is_shared);
     }
 
-    /// Whether the newest version is here as a whole.
+    /// Whether all chunks of the newest version are present.
     pub fn is_complete(&self) -> bool {
         self.pulls.borrow().last().is_some_and(Pull::is_complete)
     }
 
-    /// The version that is staged whole.
-    pub fn loadable(&self) -> Option<Target> {
+    /// The version of which all chunks are staged; `None` if there is none.
+    pub fn loadable_version(&self) -> Option<Target> {
         let pulls = self.pulls.borrow();
-        let staged = pulls.first().filter(|pull| pull.is_complete() && pull.waiting.is_empty())?;
+        let staged = pulls.first().filter(|pull| pull.is_complete() && pull.buffered.is_empty())?;
         Some(staged.target.clone())
     }
 
-    /// How much of the newest version is here; `None` before its digests are.
+    /// Download progress of the newest version; `None` until its manifest has been received.
     pub fn progress(&self) -> Option<DownloadProgress> {
         let pulls = self.pulls.borrow();
         let pull = pulls.last()?;
         let chunks = pull.chunks.as_ref()?;
-        let elapsed = self.clock.now().since(pull.began);
+        let elapsed = self.clock.now().since(pull.started_at);
         Some(DownloadProgress { chunks: chunks.have.len(), missing: chunks.missing(), elapsed })
     }
 
-    /// Whether a newer version waits in memory, and all of it is here.
+    /// Whether a newer version is completely buffered in memory.
     pub fn is_newer_complete(&self) -> bool {
         let pulls = self.pulls.borrow();
         pulls.len() > 1 && pulls.last().is_some_and(Pull::is_complete)
     }
 
-    /// The older version is loaded or given up: the chunks of the newer one are staged now.
-    pub async fn drop_older(&self) {
+    /// Drops the older of two versions, once it is loaded or abandoned, and stages the chunks of the newer one.
+    pub async fn drop_older_version(&self) {
         let digest = {
             let mut pulls = self.pulls.borrow_mut();
             if pulls.len() < 2 {
@@ -215,20 +220,20 @@
             pulls.remove(0);
             pulls[0].target.digest
         };
-        self.follow_pulls();
-        while let Some((target, index, bytes)) = self.next_waiting(digest) {
-            if let Err(e) = self.stage(&target, index, bytes).await {
-                // The check before the load finds it missing and pulls it again.
-                slog::warn!(self.log, "chunk not staged"; "index" => index, "error" => e.as_str());
+        self.update_wanted_versions();
+        while let Some((target, index, bytes)) = self.next_buffered(digest) {
+            if let Err(e) = self.stage_when_up(&target, index, bytes).await {
+                // The verification before the load detects the missing chunk and requests it again.
+                slog::warn!(self.log, "chunk staging failed"; "index" => index, "error" => e.as_str());
             }
-            self.with_pull(digest, |pull| pull.waiting.remove(&index));
+            self.with_pull(digest, |pull| pull.buffered.remove(&index));
         }
     }
 
-    fn next_waiting(&self, digest: Digest) -> Option<(Target, usize, Bytes)> {
+    fn next_buffered(&self, digest: Digest) -> Option<(Target, usize, Bytes)> {
         let pulls = self.pulls.borrow();
         let pull = pulls.first().filter(|pull| pull.target.digest == digest)?;
-        let (index, bytes) = pull.waiting.first_key_value()?;
+        let (index, bytes) = pull.buffered.first_key_value()?;
         Some((pull.target.clone(), *index, bytes.clone()))
     }
 
@@ -245,14 +250,14 @@
         self.with_pull(digest, |pull| pull.chunks.clone()).flatten()
     }
 
-    /// Whether the chunks of a version go to the endpoint and do not wait in memory.
+    /// Whether the chunks of a version are staged at the endpoint rather than buffered in memory.
     fn is_staged(&self, digest: Digest) -> bool {
         self.pulls.borrow().first().is_some_and(|pull| pull.target.digest == digest)
     }
 
-    /// Reads all staged chunks of a version again, as they turn bad while they lie there. Bad ones
-    /// are pulled anew; says whether all are good.
-    pub async fn check_staged(&self, target: &Target) -> bool {
+    /// Verifies all staged chunks of a version against their digests, as chunks may become corrupt after they
+    /// are staged. Corrupt chunks are requested again. Returns whether all chunks are valid.
+    pub async fn verify_staged(&self, target: &Target) -> bool {
         let chunks = self.chunks_of(target.digest).filter(|_| self.is_staged(target.digest));
         let Some(chunks) = chunks else {
             return false;
@@ -261,40 +266,46 @@
         for (index, digest) in chunks.digests.iter().enumerate() {
             have[index] = self.staging.chunk(&target.model, index, *digest).await.is_ok();
         }
-        let bad = have.iter().filter(|have| !**have).count();
-        if bad == 0 {
+        let corrupt = have.iter().filter(|have| !**have).count();
+        if corrupt == 0 {
             return true;
         }
-        slog::warn!(self.log, "staged chunks are bad"; "version" => target.version, "bad" => bad);
-        self.metrics.add("chunks_rotten", bad as u64);
+        slog::warn!(self.log, "staged chunks are corrupt"; "version" => target.version, "bad" => corrupt);
+        self.metrics.add("chunks_rotten", corrupt as u64);
         if self.is_staged(target.digest) {
             let others: Vec<Digest> = {
                 let pulls = self.pulls.borrow();
                 let all = pulls.iter().map(|pull| pull.target.digest);
                 all.filter(|digest| *digest != target.digest).collect()
             };
-            // The swarm believes that it has them all; it starts this version anew.
+            // The swarm has all chunks marked as present, so its state of this version is reset.
             self.swarm.borrow_mut().set_wanted_versions(&others, self.clock.now());
-            self.follow_pulls();
-            self.open(target, chunks.chunk_len, chunks.digests, have);
+            self.update_wanted_versions();
+            self.apply_manifest(target, chunks.chunk_len, chunks.digests, have);
         }
         false
     }
 
-    fn open(&self, target: &Target, chunk_len: u32, digests: Vec<Digest>, have: Vec<bool>) {
+    fn apply_manifest(
+        &self,
+        target: &Target,
+        chunk_len: u32,
+        digests: Vec<Digest>,
+        have: Vec<bool>,
+    ) {
         let chunks = digests.iter().map(|digest| Chunk { digest: *digest, len: chunk_len });
         let manifest = Manifest { chunks: chunks.collect() };
-        let here: HashMap<Digest, bool> =
+        let present: HashMap<Digest, bool> =
             digests.iter().copied().zip(have.iter().copied()).collect();
-        let is_here = |digest| here.get(&digest).copied().unwrap_or(false);
+        let is_present = |digest| present.get(&digest).copied().unwrap_or(false);
         let now = self.clock.now();
-        self.swarm.borrow_mut().set_manifest_for(target.digest, &manifest, is_here, now);
+        self.swarm.borrow_mut().set_manifest_for(target.digest, &manifest, is_present, now);
         let chunks = Chunks { chunk_len, digests, have };
         self.with_pull(target.digest, |pull| pull.chunks = Some(chunks));
         self.changed.notify_waiters();
     }
 
-    /// Pulls what is missing until the process ends.
+    /// Requests missing chunks; runs until the process exits.
     pub async fn run(self: Rc<Self>) {
         loop {
             let requests = {
@@ -302,10 +313,10 @@
                 self.swarm.borrow_mut().step(self.clock.now(), &mut *rng)
             };
             for request in requests {
-                spawn_local(self.clone().carry_out(request));
+                spawn_local(self.clone().execute(request));
             }
             let is_idle = self.pulls.borrow().iter().all(Pull::is_complete);
-            let wait = if is_idle { Duration::from_secs(1) } else { STEP };
+            let wait = if is_idle { Duration::from_secs(1) } else { STEP_INTERVAL };
             let _ = timeout(wait, self.changed.notified()).await;
         }
     }
--- a/node/src/direct/swarm/pulls.rs
+++ b/node/src/direct/swarm/pulls.rs
@@ -1,4 +1,4 @@
-//! Versions on their way to one agent, and which of their chunks are here.
+//! Versions that an agent downloads, and which of their chunks are present.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -9,18 +9,18 @@
 use mastichaven_core::ids::Digest;
 use smol_str::SmolStr;
 
-/// A version that is pulled.
+/// A version to download.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
-    /// The model.
+    /// Name of the model.
     pub model: SmolStr,
-    /// Its version.
+    /// Version number, as announced by the platform.
     pub version: u64,
-    /// Names it among agents.
+    /// Identifier of the version in requests between agents; see `version_digest`.
     pub digest: Digest,
 }
 
-/// Which chunks of a version are here.
+/// The chunks of a version, by index, and which of them are present.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Chunks {
     pub(super) chunk_len: u32,
@@ -38,16 +38,18 @@
     }
 }
 
-/// A version on its way. The endpoint has room for one version; the chunks of a newer one wait in
-/// memory until that is loaded or given up.
+/// The download of a version. The endpoint can stage one version; the chunks of a newer one are buffered in
+/// memory until the staged one is loaded or abandoned.
 #[derive(Clone, Debug)]
 pub(super) struct Pull {
     pub(super) target: Target,
+    /// `None` until the manifest has been received.
     pub(super) chunks: Option<Chunks>,
-    pub(super) waiting: BTreeMap<usize, Bytes>,
-    /// The pullers that have the list of chunks to pull.
-    pub(super) asked_pullers: HashSet<IpAddr>,
-    pub(super) began: Time,
+    /// Chunks that are not staged yet, by index.
+    pub(super) buffered: BTreeMap<usize, Bytes>,
+    /// The pullers to which the list of chunks to prefetch has been sent.
+    pub(super) prefetch_pullers: HashSet<IpAddr>,
+    pub(super) started_at: Time,
 }
 
 impl Pull {
@@ -55,9 +57,9 @@
         Pull {
             target,
             chunks: None,
-            waiting: BTreeMap::new(),
-            asked_pullers: HashSet::new(),
-            began: now,
+            buffered: BTreeMap::new(),
+            prefetch_pullers: HashSet::new(),
+            started_at: now,
         }
     }
 
--- a/node/src/direct/swarm/serving.rs
+++ b/node/src/direct/swarm/serving.rs
@@ -1,4 +1,4 @@
-//! Answers the peers that take chunks from this agent.
+//! Serves chunks to peers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,8 +14,8 @@
 use tokio::time::Instant;
 use tokio::time::timeout;
 
-use super::STEP;
-use super::SwarmHost;
+use super::STEP_INTERVAL;
+use super::SwarmDriver;
 use super::pulls::Chunks;
 use super::pulls::Pull;
 use crate::direct::link;
@@ -23,27 +23,27 @@
 use crate::direct::peers::PeerReply;
 use crate::direct::peers::PeerRequest;
 
-/// Questions of peers answered at once.
-const MAX_ASKS: usize = 64;
+/// Maximum number of concurrent requests of peers; further connections are closed.
+const MAX_CONCURRENT_REQUESTS: usize = 64;
 
-impl SwarmHost {
-    /// Answers peers until the process ends.
+impl SwarmDriver {
+    /// Accepts requests of peers; runs until the process exits.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let asks = Rc::new(Cell::new(0));
+        let active_requests = Rc::new(Cell::new(0));
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                tokio::time::sleep(STEP).await;
+                tokio::time::sleep(STEP_INTERVAL).await;
                 continue;
             };
-            if asks.get() >= MAX_ASKS {
+            if active_requests.get() >= MAX_CONCURRENT_REQUESTS {
                 continue;
             }
-            asks.set(asks.get() + 1);
-            let (host, asks) = (self.clone(), asks.clone());
+            active_requests.set(active_requests.get() + 1);
+            let (driver, active_requests) = (self.clone(), active_requests.clone());
             spawn_local(async move {
-                // A peer that goes away in the middle asks somebody else.
-                let _ = timeout(LONG_POLL_TIMEOUT * 4, host.serve_peer(stream)).await;
-                asks.set(asks.get() - 1);
+                // On a failure in mid-transfer, the peer retries with another host.
+                let _ = timeout(LONG_POLL_TIMEOUT * 4, driver.serve_peer(stream)).await;
+                active_requests.set(active_requests.get() - 1);
             });
         }
     }
@@ -52,11 +52,11 @@
         link::prepare(&stream)?;
         let req: PeerRequest = peers::read(&mut stream).await?;
         let reply = match req {
-            PeerRequest::Have { version } => self.tell_have(version),
-            PeerRequest::Manifest { version } => self.tell_manifest(version).await,
-            PeerRequest::Chunk { .. } if self.sending.get() >= BUSY_QUEUE => PeerReply::Busy,
+            PeerRequest::Have { version } => self.availability_reply(version),
+            PeerRequest::Manifest { version } => self.manifest_reply(version).await,
+            PeerRequest::Chunk { .. } if self.uploads.get() >= BUSY_QUEUE => PeerReply::Busy,
             PeerRequest::Chunk { version, digest, park } => {
-                match self.find_chunk(version, digest, park).await {
+                match self.wait_for_chunk(version, digest, park).await {
                     Some(chunk) => return self.send_chunk(&mut stream, &chunk).await,
                     None => PeerReply::Absent,
                 }
@@ -66,13 +66,13 @@
     }
 
     async fn send_chunk(&self, stream: &mut TcpStream, chunk: &Bytes) -> std::io::Result<()> {
-        self.sending.set(self.sending.get() + 1);
-        let sent = peers::send_pieces(stream, chunk, &self.link_turn).await;
-        self.sending.set(self.sending.get() - 1);
+        self.uploads.set(self.uploads.get() + 1);
+        let sent = peers::send_pieces(stream, chunk, &self.upload_slots).await;
+        self.uploads.set(self.uploads.get() - 1);
         sent
     }
 
-    fn tell_have(&self, version: Digest) -> PeerReply {
+    fn availability_reply(&self, version: Digest) -> PeerReply {
         let Some(chunks) = self.chunks_of(version) else {
             return PeerReply::Have { map: Bitmap::default(), queue: 0 };
         };
@@ -80,35 +80,35 @@
         for (index, _) in chunks.have.iter().enumerate().filter(|(_, have)| **have) {
             map.set(index);
         }
-        PeerReply::Have { map, queue: self.sending.get() }
+        PeerReply::Have { map, queue: self.uploads.get() }
     }
 
-    async fn tell_manifest(&self, version: Digest) -> PeerReply {
-        let until = Instant::now() + LONG_POLL_TIMEOUT;
+    async fn manifest_reply(&self, version: Digest) -> PeerReply {
+        let deadline = Instant::now() + LONG_POLL_TIMEOUT;
         loop {
             if let Some(Chunks { chunk_len, digests, .. }) = self.chunks_of(version) {
                 return PeerReply::Manifest { chunk_len, digests };
             }
-            if tokio::time::timeout_at(until, self.changed.notified()).await.is_err() {
+            if tokio::time::timeout_at(deadline, self.changed.notified()).await.is_err() {
                 return PeerReply::Absent;
             }
         }
     }
 
-    /// A chunk that is staged here, or is within the time that a request may wait.
-    async fn find_chunk(&self, version: Digest, digest: Digest, park: bool) -> Option<Bytes> {
-        let until = Instant::now() + LONG_POLL_TIMEOUT;
+    /// The chunk if it is staged or buffered. With `park`, waits up to [`LONG_POLL_TIMEOUT`] for it.
+    async fn wait_for_chunk(&self, version: Digest, digest: Digest, park: bool) -> Option<Bytes> {
+        let deadline = Instant::now() + LONG_POLL_TIMEOUT;
         loop {
-            if let Some((target, index)) = self.place_of(version, digest)
+            if let Some((target, index)) = self.locate_chunk(version, digest)
                 && self.chunks_of(version).is_some_and(|chunks| chunks.have[index])
             {
-                let waiting = |pull: &mut Pull| pull.waiting.get(&index).cloned();
-                if let Some(bytes) = self.with_pull(version, waiting).flatten() {
+                let buffered_chunk = |pull: &mut Pull| pull.buffered.get(&index).cloned();
+                if let Some(bytes) = self.with_pull(version, buffered_chunk).flatten() {
                     return Some(bytes);
                 }
                 return self.staging.chunk(&target.model, index, digest).await.ok();
             }
-            let waited = tokio::time::timeout_at(until, self.changed.notified()).await;
+            let waited = tokio::time::timeout_at(deadline, self.changed.notified()).await;
             if !park || waited.is_err() {
                 return None;
             }
--- a/node/src/direct/swarm/sources.rs
+++ b/node/src/direct/swarm/sources.rs
@@ -1,4 +1,4 @@
-//! Takes manifests and chunks from the origin, from entries and from peers.
+//! Fetches manifests and chunks from the origin, entries and peers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,8 +18,8 @@
 use mastichaven_core::swarm::topology::key_of;
 use mastichaven_platform::origin as origin_paths;
 
-use super::STEP;
-use super::SwarmHost;
+use super::STEP_INTERVAL;
+use super::SwarmDriver;
 use super::pulls::Pull;
 use super::pulls::Target;
 use crate::direct::chunk_server;
@@ -34,33 +34,33 @@
 use crate::direct::staging::StagingError;
 use crate::direct::staging::sha256;
 
-/// How long a chunk in hand waits for an endpoint that is starting.
-const ENDPOINT_STARTS_WITHIN: Duration = Duration::from_secs(3);
+/// Time for which staging a received chunk is retried while the endpoint is starting.
+const ENDPOINT_START_TIMEOUT: Duration = Duration::from_secs(3);
 
-impl SwarmHost {
-    /// Carries out one request of the swarm and tells it how that ended.
-    pub(super) async fn carry_out(self: Rc<Self>, request: Request) {
-        let end = match (request.destination, request.kind) {
+impl SwarmDriver {
+    /// Executes a request of the swarm and passes the outcome to it.
+    pub(super) async fn execute(self: Rc<Self>, request: Request) {
+        let outcome = match (request.destination, request.kind) {
             (Destination::Origin, RequestKind::Manifest) => {
-                self.manifest_from_origin(&request).await
+                self.fetch_manifest_from_origin(&request).await
             }
             (Destination::Origin, RequestKind::Chunk { digest, .. }) => {
-                self.chunk_from_origin(&request, digest).await
+                self.fetch_chunk_from_origin(&request, digest).await
             }
             (Destination::Origin, RequestKind::Have) => RequestOutcome::Absent,
-            (Destination::Peer(id), _) => self.ask_peer(id, &request).await,
+            (Destination::Peer(id), _) => self.request_from_peer(id, &request).await,
             (Destination::Cache, RequestKind::Chunk { digest, .. }) => {
-                self.chunk_from_cache(&request, digest).await
+                self.fetch_chunk_from_cache(&request, digest).await
             }
             (Destination::Cache, RequestKind::Manifest | RequestKind::Have) => {
                 RequestOutcome::Absent
             }
         };
-        self.swarm.borrow_mut().finish(request.flight, end, self.clock.now());
+        self.swarm.borrow_mut().finish(request.flight, outcome, self.clock.now());
         self.changed.notify_waiters();
     }
 
-    async fn ask_origin(&self, path: &str) -> std::result::Result<Bytes, RequestOutcome> {
+    async fn fetch_from_origin(&self, path: &str) -> std::result::Result<Bytes, RequestOutcome> {
         let Some(address) = self.origin.get() else {
             return Err(RequestOutcome::Deferred);
         };
@@ -72,28 +72,28 @@
             Err(OriginError::Unreachable) => Err(RequestOutcome::Unreachable),
             Err(OriginError::Silent) => Err(RequestOutcome::TimedOut),
             Err(OriginError::Refused(status)) => {
-                slog::info!(self.log, "origin refused"; "path" => path, "status" => status);
+                slog::info!(self.log, "origin refused request"; "path" => path, "status" => status);
                 Err(RequestOutcome::Absent)
             }
         }
     }
 
-    async fn manifest_from_origin(&self, request: &Request) -> RequestOutcome {
+    async fn fetch_manifest_from_origin(&self, request: &Request) -> RequestOutcome {
         let Some(target) = self.target_of(request.version) else {
             return RequestOutcome::Deferred;
         };
         let path = origin_paths::manifest_path(&target.model, target.version);
-        match self.ask_origin(&path).await {
+        match self.fetch_from_origin(&path).await {
             Ok(body) => match origin_paths::scan_manifest(&body, target.version) {
-                Some(found) => self.take_manifest(&target, found.chunk_len, found.digests).await,
+                Some(found) => self.receive_manifest(&target, found.chunk_len, found.digests).await,
                 None => RequestOutcome::Corrupt,
             },
-            Err(end) => end,
+            Err(outcome) => outcome,
         }
     }
 
-    /// Takes a version's digests in, after a look at which of its chunks are staged already.
-    async fn take_manifest(
+    /// Applies the manifest of a version after verifying which of its chunks are already staged.
+    async fn receive_manifest(
         &self,
         target: &Target,
         chunk_len: u32,
@@ -103,7 +103,7 @@
             Ok(staged) if self.is_staged(target.digest) => staged,
             Ok(_) => Vec::new(),
             Err(e) => {
-                slog::warn!(self.log, "staged chunks not listed"; "error" => e.as_str());
+                slog::warn!(self.log, "listing staged chunks failed"; "error" => e.as_str());
                 Vec::new()
             }
         };
@@ -114,35 +114,35 @@
         if self.target_of(target.digest).is_none() {
             return RequestOutcome::Deferred;
         }
-        let here = have.iter().filter(|have| **have).count();
-        slog::info!(self.log, "digests known"; "version" => target.version,
-            "chunks" => digests.len(), "staged" => here);
+        let present = have.iter().filter(|have| **have).count();
+        slog::info!(self.log, "manifest received"; "version" => target.version,
+            "chunks" => digests.len(), "staged" => present);
         let chunks = digests.iter().map(|digest| Chunk { digest: *digest, len: chunk_len });
         let manifest = Manifest { chunks: chunks.collect() };
-        self.open(target, chunk_len, digests, have);
+        self.apply_manifest(target, chunk_len, digests, have);
         RequestOutcome::Manifest(manifest)
     }
 
-    async fn chunk_from_origin(&self, request: &Request, digest: Digest) -> RequestOutcome {
-        let Some((target, index)) = self.place_of(request.version, digest) else {
+    async fn fetch_chunk_from_origin(&self, request: &Request, digest: Digest) -> RequestOutcome {
+        let Some((target, index)) = self.locate_chunk(request.version, digest) else {
             return RequestOutcome::Deferred;
         };
         let path = origin_paths::chunk_path(&target.model, target.version, index);
-        match self.ask_origin(&path).await {
+        match self.fetch_from_origin(&path).await {
             Ok(bytes) => {
                 self.metrics.count("chunks_from_origin");
-                self.take_chunk(&target, index, digest, bytes).await
+                self.store_chunk(&target, index, digest, bytes).await
             }
-            Err(end) => end,
+            Err(outcome) => outcome,
         }
     }
 
-    async fn chunk_from_cache(&self, request: &Request, digest: Digest) -> RequestOutcome {
-        let Some((target, index)) = self.place_of(request.version, digest) else {
+    async fn fetch_chunk_from_cache(&self, request: &Request, digest: Digest) -> RequestOutcome {
+        let Some((target, index)) = self.locate_chunk(request.version, digest) else {
             return RequestOutcome::Deferred;
         };
         let Some(route) = self.caches.borrow().route(digest, self.clock.now()) else {
-            self.follow_caches();
+            self.update_cache_availability();
             return RequestOutcome::Unreachable;
         };
         let hello = Hello::Chunk(ChunkRequest {
@@ -151,52 +151,55 @@
             index: index as u32,
             digest,
             puller: route.puller,
-            next: self.pulled_next(request.version, digest),
+            next: self.prefetch_list(request.version, digest),
         });
         let address = SocketAddr::new(route.entry, self.cache_port);
-        let reply_within = chunk_server::REPLY_WITHIN;
-        let (within, intake) = (request.timeout, &self.intake);
-        match peers::take_chunk(address, &hello, reply_within, within, intake).await {
+        let reply_timeout = chunk_server::REPLY_WITHIN;
+        let (transfer_timeout, download_slots) = (request.timeout, &self.download_slots);
+        match peers::take_chunk(address, &hello, reply_timeout, transfer_timeout, download_slots)
+            .await
+        {
             Ok(Ok(bytes)) => {
                 self.metrics.count("chunks_from_entries");
-                self.take_chunk(&target, index, digest, bytes).await
+                self.store_chunk(&target, index, digest, bytes).await
             }
-            Ok(Err(reply)) => end_of(Ok(reply)),
+            Ok(Err(reply)) => outcome_of(Ok(reply)),
             Err(e) => {
-                slog::info!(self.log, "chunk not received"; "entry" => address.to_string(),
+                slog::info!(self.log, "chunk request failed"; "entry" => address.to_string(),
                     "version" => target.version, "error" => e.as_str());
                 self.caches.borrow_mut().record_failure(route.entry, self.clock.now());
-                self.follow_caches();
-                end_of(Err(e))
+                self.update_cache_availability();
+                outcome_of(Err(e))
             }
         }
     }
 
-    /// The other missing chunks that come through the same puller, for the first request through it.
+    /// The other missing chunks that the puller of this chunk is assigned; empty except for the first request
+    /// that goes through this puller.
     ///
-    /// The puller takes them as fast as the origin sends, however slow this host is: the origin may be gone
-    /// before all of the version was asked for.
-    fn pulled_next(&self, version: Digest, digest: Digest) -> Vec<(u32, Digest)> {
+    /// The puller prefetches them at the speed of the origin, however slow this host is. Otherwise the origin
+    /// might become unavailable before all chunks of the version have been requested.
+    fn prefetch_list(&self, version: Digest, digest: Digest) -> Vec<(u32, Digest)> {
         let puller = self.caches.borrow().puller(digest);
         let Some(puller) = puller.filter(|ip| {
-            self.with_pull(version, |pull| pull.asked_pullers.insert(*ip)) == Some(true)
+            self.with_pull(version, |pull| pull.prefetch_pullers.insert(*ip)) == Some(true)
         }) else {
             return Vec::new();
         };
         let chunks = self.chunks_of(version).unwrap_or_default();
         let caches = self.caches.borrow();
-        let is_next = |(index, other): &(usize, &Digest)| {
+        let is_same_puller = |(index, other): &(usize, &Digest)| {
             !chunks.have[*index] && **other != digest && caches.puller(**other) == Some(puller)
         };
-        let next = chunks.digests.iter().enumerate().filter(is_next);
+        let next = chunks.digests.iter().enumerate().filter(is_same_puller);
         let mut next: Vec<(u32, Digest)> =
             next.map(|(index, digest)| (index as u32, *digest)).collect();
         next.sort_unstable_by_key(|(_, digest)| key_of(*digest));
         next
     }
 
-    /// Where a chunk belongs.
-    pub(super) fn place_of(&self, version: Digest, digest: Digest) -> Option<(Target, usize)> {
+    /// The version and the index of a chunk; `None` if the version is not wanted or its manifest is missing.
+    pub(super) fn locate_chunk(&self, version: Digest, digest: Digest) -> Option<(Target, usize)> {
         let index_of = |pull: &mut Pull| {
             let index = pull.chunks.as_ref()?.index_of(digest)?;
             Some((pull.target.clone(), index))
@@ -204,7 +207,7 @@
         self.with_pull(version, index_of).flatten()
     }
 
-    async fn take_chunk(
+    async fn store_chunk(
         &self,
         target: &Target,
         index: usize,
@@ -216,51 +219,52 @@
             return RequestOutcome::Corrupt;
         }
         if self.is_staged(target.digest) {
-            if let Err(e) = self.stage(target, index, bytes).await {
-                slog::warn!(self.log, "chunk not staged"; "index" => index, "error" => e.as_str());
+            if let Err(e) = self.stage_when_up(target, index, bytes).await {
+                slog::warn!(self.log, "chunk staging failed"; "index" => index, "error" => e.as_str());
                 return RequestOutcome::Deferred;
             }
         } else {
-            self.with_pull(target.digest, |pull| pull.waiting.insert(index, bytes));
+            self.with_pull(target.digest, |pull| pull.buffered.insert(index, bytes));
         }
         let now = self.clock.now();
-        let has_chunk = |pull: &mut Pull| {
+        let mark_present = |pull: &mut Pull| {
             let Some(chunks) = &mut pull.chunks else {
                 return;
             };
             let is_new = !std::mem::replace(&mut chunks.have[index], true);
             if is_new && chunks.missing() == 0 {
-                slog::info!(self.log, "weights here"; "version" => target.version,
-                    "took_ms" => now.since(pull.began).as_millis() as u64);
+                slog::info!(self.log, "download complete"; "version" => target.version,
+                    "took_ms" => now.since(pull.started_at).as_millis() as u64);
             }
         };
-        match self.with_pull(target.digest, has_chunk) {
+        match self.with_pull(target.digest, mark_present) {
             Some(()) => RequestOutcome::Stored,
             None => RequestOutcome::Deferred,
         }
     }
 
-    /// Stages a chunk, waiting for an endpoint that is not up yet: it starts about a second after its
-    /// agent, and the link would carry the chunk twice if it were dropped.
-    pub(super) async fn stage(
+    /// Stages a chunk, retrying while the endpoint is not up: it starts about a second after its agent, and
+    /// a chunk that is dropped would have to be transferred again.
+    pub(super) async fn stage_when_up(
         &self,
         target: &Target,
         index: usize,
         bytes: Bytes,
     ) -> staging::Result<()> {
-        let began = self.clock.now();
+        let started_at = self.clock.now();
         loop {
             let staged = self.staging.stage(&target.model, index, bytes.clone()).await;
             let is_down = staged == Err(StagingError::Link(LinkError::NotSent));
             let is_wanted = self.is_staged(target.digest);
-            if !is_down || !is_wanted || self.clock.now().passed(began, ENDPOINT_STARTS_WITHIN) {
+            if !is_down || !is_wanted || self.clock.now().passed(started_at, ENDPOINT_START_TIMEOUT)
+            {
                 return staged;
             }
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(STEP_INTERVAL).await;
         }
     }
 
-    async fn ask_peer(&self, id: PeerId, request: &Request) -> RequestOutcome {
+    async fn request_from_peer(&self, id: PeerId, request: &Request) -> RequestOutcome {
         let host = self.swarm.borrow().location(id).host.clone();
         let Some(address) = self.addresses.borrow().get(&host).copied() else {
             return RequestOutcome::Unreachable;
@@ -270,7 +274,7 @@
             RequestKind::Have => PeerRequest::Have { version },
             RequestKind::Manifest => PeerRequest::Manifest { version },
             RequestKind::Chunk { digest, long_poll, .. } => {
-                return self.chunk_from_peer(address, request, digest, long_poll).await;
+                return self.fetch_chunk_from_peer(address, request, digest, long_poll).await;
             }
         };
         match (peers::ask(address, &req, request.timeout).await, request.kind) {
@@ -281,39 +285,39 @@
             }
             (Ok(PeerReply::Manifest { chunk_len, digests }), RequestKind::Manifest) => {
                 match self.target_of(request.version) {
-                    Some(target) => self.take_manifest(&target, chunk_len, digests).await,
+                    Some(target) => self.receive_manifest(&target, chunk_len, digests).await,
                     None => RequestOutcome::Deferred,
                 }
             }
-            (reply, _) => end_of(reply),
+            (reply, _) => outcome_of(reply),
         }
     }
 
-    async fn chunk_from_peer(
+    async fn fetch_chunk_from_peer(
         &self,
         address: SocketAddr,
         request: &Request,
         digest: Digest,
         park: bool,
     ) -> RequestOutcome {
-        let Some((target, index)) = self.place_of(request.version, digest) else {
+        let Some((target, index)) = self.locate_chunk(request.version, digest) else {
             return RequestOutcome::Deferred;
         };
         let req = PeerRequest::Chunk { version: request.version, digest, park };
-        let within = request.timeout;
-        match peers::take_chunk(address, &req, within, within, &self.intake).await {
+        let timeout = request.timeout;
+        match peers::take_chunk(address, &req, timeout, timeout, &self.download_slots).await {
             Ok(Ok(bytes)) => {
                 self.metrics.count("chunks_from_peers");
-                self.take_chunk(&target, index, digest, bytes).await
+                self.store_chunk(&target, index, digest, bytes).await
             }
-            Ok(Err(reply)) => end_of(Ok(reply)),
-            Err(e) => end_of(Err(e)),
+            Ok(Err(reply)) => outcome_of(Ok(reply)),
+            Err(e) => outcome_of(Err(e)),
         }
     }
 }
 
-/// How a request ended that brought nothing.
-fn end_of(reply: peers::Result<PeerReply>) -> RequestOutcome {
+/// Outcome of a request that returned no data.
+fn outcome_of(reply: peers::Result<PeerReply>) -> RequestOutcome {
     match reply {
         Ok(PeerReply::Busy) => RequestOutcome::Busy,
         Ok(PeerReply::NotYet) => RequestOutcome::Pending,
--- a/node/tests/direct/agent.rs
+++ b/node/tests/direct/agent.rs
@@ -39,7 +39,7 @@
     let old = fleet(&site, "peers", 2, Some(1));
     let entry = site.entry("peers");
     until("old ones know the digests", || {
-        old.iter().all(|(_, agent)| agent.log().contains("digests known"))
+        old.iter().all(|(_, agent)| agent.log().contains("manifest received"))
     });
     let new = site.endpoint("i-new", "writer", None);
     let _agent = site.agent("peers-new", &new);
@@ -78,7 +78,7 @@
     let site = Site::start();
     let fleet = fleet(&site, "rotten", 2, Some(1));
     let _entry = site.entry("rotten");
-    until("digests known", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
+    until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
     name_version(&site, 2);
     for _ in 0..60 {
         for (endpoint, _) in &fleet {
@@ -96,7 +96,7 @@
     let site = Site::start();
     let fleet = fleet(&site, "outage", 2, Some(1));
     let _entry = site.entry("outage");
-    until("digests known", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
+    until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
     site.origin.set_down(true);
     name_version(&site, 2);
     thread::sleep(Duration::from_secs(3));
@@ -116,7 +116,7 @@
     let site = Site::start();
     let fleet = fleet(&site, "row", 3, Some(1));
     let _entry = site.entry("row");
-    until("digests known", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
+    until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
     name_version(&site, 2);
     thread::sleep(Duration::from_millis(900));
     name_version(&site, 3);
@@ -131,7 +131,7 @@
     let site = Site::start();
     let mut fleet = fleet(&site, "killed", 2, Some(1));
     let _entry = site.entry("killed");
-    until("digests known", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
+    until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
     name_version(&site, 2);
     until("a chunk has come", || site.origin.chunks_sent() > 0);
     for (n, (endpoint, agent)) in fleet.iter_mut().enumerate() {
