--- a/node/src/direct/agent.rs
+++ b/node/src/direct/agent.rs
@@ -1,5 +1,6 @@
-//! The agent on the direct path: keeps its endpoint's weights at the newest version and tells entries
-//! of its load. It has no state that its endpoint and the store do not give back after a restart.
+//! The agent of the direct path: keeps its endpoint's weights at the newest version and reports the endpoint's
+//! load to entries. It stores nothing itself: after a restart, it recovers its state from the endpoint, the
+//! entries and the store.
 
 mod loading;
 mod reports;
@@ -42,13 +43,13 @@
 use super::swarm::SwarmDriver;
 use crate::clock::BootClock;
 
-/// Time of a load before the first one.
-const LOAD_TIME_UNKNOWN: Duration = Duration::from_millis(500);
+/// Load time assumed until the first load has been measured.
+const INITIAL_LOAD_TIME: Duration = Duration::from_millis(500);
 
 /// Result of running an agent.
 pub type Result<T> = io::Result<T>;
 
-/// What an agent knows and shares among its tasks.
+/// State shared by the tasks of an agent.
 struct Agent {
     cfg: DirectSettings,
     clock: BootClock,
@@ -57,23 +58,26 @@
     metrics: Rc<Metrics>,
     staging: Rc<Staging>,
     swarm: Rc<SwarmDriver>,
-    place: PeerLocation,
-    /// What is known of the own service, from which version of the configuration.
+    location: PeerLocation,
+    /// The setup of this agent's service and the configuration version it is from; `None` until received.
     setup: RefCell<Option<SetupUpdate>>,
+    /// The newest announced version and when this agent received the announcement.
     newest: Cell<Option<(u64, Time)>>,
     versions: RefCell<Versions>,
-    /// This host's place among the hosts that load, and their number.
+    /// Position of this host among the hosts that load, starting at 0, and the number of these hosts.
     rank: Cell<(u32, u32)>,
-    /// Id of the list of peers that an entry sent last.
+    /// Id of the last peer list received from an entry; 0 if there is none.
     peer_list: Cell<u64>,
+    /// The endpoint's last report; `None` while the endpoint cannot be reached.
     report: RefCell<Option<Report>>,
-    is_ordering: Cell<bool>,
-    /// Time that the endpoint took for its last load.
+    /// Whether the endpoint is draining or loading, so that entries must not route requests to it.
+    is_load_in_progress: Cell<bool>,
+    /// Duration of the endpoint's last load.
     load_time: Cell<Duration>,
     subscribers: RefCell<Subscribers>,
     /// Signals that the setup or the newest version has changed.
     updated: Notify,
-    /// Signals that entries must hear of a change at once.
+    /// Triggers a report without waiting for the interval.
     report_now: Notify,
 }
 
@@ -84,18 +88,18 @@
     let log = EventLog::start(cfg.host.as_str())?;
     let mut stop = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
-    let peers_at = SocketAddr::new(cfg.ip, cfg.agent_port);
-    let peers_listener = TcpListener::bind(peers_at).await?;
-    let asks_socket = Rc::new(UdpSocket::bind(peers_at).await?);
+    let peer_address = SocketAddr::new(cfg.ip, cfg.agent_port);
+    let peers_listener = TcpListener::bind(peer_address).await?;
+    let report_socket = Rc::new(UdpSocket::bind(peer_address).await?);
     let metrics_listener = TcpListener::bind((cfg.ip, cfg.metrics_port)).await?;
     let clock = BootClock::start();
     let metrics = Rc::new(Metrics::default());
     let staging = Rc::new(Staging::new(endpoint));
-    let place =
-        PeerLocation { host: host_at(endpoint), zone: cfg.zone.clone(), region: cfg.region() };
+    let location =
+        PeerLocation { host: host_name_of(endpoint), zone: cfg.zone.clone(), region: cfg.region() };
     let root = log.root.clone();
     let port = cfg.agent_port;
-    let swarm = SwarmDriver::new(&place, clock, root, metrics.clone(), staging.clone(), port);
+    let swarm = SwarmDriver::new(&location, clock, root, metrics.clone(), staging.clone(), port);
     let agent = Rc::new(Agent {
         cfg,
         clock,
@@ -104,24 +108,24 @@
         metrics,
         staging,
         swarm: Rc::new(swarm),
-        place,
+        location,
         setup: RefCell::default(),
         newest: Cell::new(None),
         versions: RefCell::new(Versions::new(0)),
         rank: Cell::new((0, 1)),
         peer_list: Cell::new(0),
         report: RefCell::default(),
-        is_ordering: Cell::new(false),
-        load_time: Cell::new(LOAD_TIME_UNKNOWN),
+        is_load_in_progress: Cell::new(false),
+        load_time: Cell::new(INITIAL_LOAD_TIME),
         subscribers: RefCell::default(),
         updated: Notify::new(),
         report_now: Notify::new(),
     });
     slog::info!(agent.log, "started"; "endpoint" => endpoint.to_string());
-    spawn_local(agent.clone().listen(asks_socket.clone()));
-    spawn_local(agent.clone().report(asks_socket));
-    spawn_local(agent.clone().follow());
-    spawn_local(agent.clone().load());
+    spawn_local(agent.clone().receive_requests(report_socket.clone()));
+    spawn_local(agent.clone().send_reports(report_socket));
+    spawn_local(agent.clone().follow_updates());
+    spawn_local(agent.clone().schedule_loads());
     spawn_local(agent.swarm.clone().run());
     spawn_local(agent.swarm.clone().serve(peers_listener));
     spawn_local(serve_status(agent.clone(), metrics_listener));
@@ -131,20 +135,21 @@
             _ = reload.recv() => slog::info!(agent.log, "settings reloaded, nothing to change"),
         }
     }
-    // Requests do not pass through here, and a chunk that is cut off is asked of another peer.
+    // No draining is required: requests of callers do not pass through the agent, and a peer whose download is
+    // interrupted requests the chunk from another host.
     slog::info!(agent.log, "stopped");
     drop(log);
     Ok(())
 }
 
-/// Agents are known to each other by the address of their endpoint.
-fn host_at(address: SocketAddr) -> HostName {
+/// The name that identifies an agent among its peers: the address of its endpoint.
+fn host_name_of(address: SocketAddr) -> HostName {
     HostName::new(address.to_string())
 }
 
 impl Agent {
-    /// The version that the endpoint holds whole.
-    fn held(&self) -> Option<u64> {
+    /// The version that the endpoint has completely loaded; `None` if there is none or the setup is unknown.
+    fn held_version(&self) -> Option<u64> {
         let name = self.model()?.name;
         let report = self.report.borrow();
         let weights = &report.as_ref()?.load.weights;
@@ -155,7 +160,7 @@
 async fn serve_status(agent: Rc<Agent>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(loading::LOAD_POLL).await;
+            sleep(loading::LOAD_POLL_INTERVAL).await;
             continue;
         };
         let agent = agent.clone();
@@ -175,7 +180,7 @@
 }
 
 impl Agent {
-    /// All that is believed now, for operators.
+    /// The agent's current state as JSON, for operators.
     fn dump(&self) -> String {
         let now = self.clock.now();
         let newest = self.newest.get();
@@ -183,7 +188,7 @@
             "host": self.cfg.host.as_str(),
             "newest": newest.map(|(version, _)| version),
             "named_ago_ms": newest.map(|(_, at)| now.since(at).as_millis() as u64),
-            "held": self.held(),
+            "held": self.held_version(),
             "staged": self.swarm.is_complete(),
             "rank": self.rank.get().0,
             "entries": self.subscribers.borrow().len(now),
--- a/node/src/direct/agent/loading.rs
+++ b/node/src/direct/agent/loading.rs
@@ -1,4 +1,4 @@
-//! When the endpoint loads a version, and how it is emptied before.
+//! Orders the endpoint to load a staged version, and drains it first.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,45 +10,47 @@
 use tokio::time::sleep;
 
 use super::Agent;
-use super::reports::REPORT_EVERY;
+use super::reports::REPORT_INTERVAL;
 use crate::direct::swarm::Target;
 
-/// How often a load that is due or under way is looked at.
-pub(super) const LOAD_POLL: Duration = Duration::from_millis(50);
+/// Interval between checks of a load that is due or in progress.
+pub(super) const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long an endpoint that is about to load may go on with what runs; most requests end in this
-/// time, and the streams that are left are continued elsewhere.
-const EMPTY_FOR: Duration = Duration::from_millis(800);
+/// Maximum time for running requests to complete before a load. Most requests complete within it; remaining
+/// streams are resumed at other endpoints.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Pause after an order that was not carried out.
-const ORDER_RETRY: Duration = Duration::from_millis(300);
+/// Delay before a failed load order is retried.
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Time for the endpoint to show that an order has begun.
-const ORDER_SHOWN_WITHIN: Duration = Duration::from_secs(8);
+/// Maximum time to wait for the endpoint to report the ordered version.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl Agent {
-    /// Orders loads when they are due.
-    pub(super) async fn load(self: Rc<Self>) {
+    /// Orders loads when they are due; runs until the process exits.
+    pub(super) async fn schedule_loads(self: Rc<Self>) {
         loop {
-            sleep(LOAD_POLL).await;
-            let is_held = |target: Target| self.held().is_some_and(|held| held >= target.version);
-            if self.swarm.is_newer_complete() || self.swarm.loadable_version().is_some_and(is_held)
+            sleep(LOAD_POLL_INTERVAL).await;
+            let is_loaded =
+                |target: Target| self.held_version().is_some_and(|held| held >= target.version);
+            if self.swarm.is_newer_complete()
+                || self.swarm.loadable_version().is_some_and(is_loaded)
             {
-                // An older version that is loaded or overtaken makes room for the newer one.
+                // An older version that is loaded or superseded is dropped to stage the newer one.
                 self.swarm.drop_older_version().await;
             }
             let Some(target) = self.swarm.loadable_version() else {
                 continue;
             };
             let is_busy = self.report.borrow().as_ref().is_none_or(|report| report.is_busy);
-            if !is_busy && rollout::may_load(&self.situation(&target), self.clock.now()) {
-                self.order(&target).await;
+            if !is_busy && rollout::may_load(&self.host_state(&target), self.clock.now()) {
+                self.order_load(&target).await;
             }
         }
     }
 
-    fn situation(&self, target: &Target) -> HostState {
-        let held = self.held();
+    fn host_state(&self, target: &Target) -> HostState {
+        let held = self.held_version();
         let versions = self.versions.borrow();
         let announced_at = versions.announced_at(target.version).unwrap_or_default();
         let outdated_since = versions.outdated_since(held.unwrap_or(0)).unwrap_or(announced_at);
@@ -60,9 +62,9 @@
         HostState { staged, announced_at, held, outdated_since, rank, hosts, bound, is_barred }
     }
 
-    /// Time until the endpoint serves, unless it does or that is not known.
+    /// Estimated time until the endpoint serves requests; `None` if it already does or there is no estimate.
     pub(super) fn ready_in(&self, now: Time) -> Option<Duration> {
-        let held = self.held();
+        let held = self.held_version();
         let serves = held.is_some_and(|held| !self.subscribers.borrow().is_barred(held, now));
         if serves {
             return None;
@@ -70,29 +72,29 @@
         rollout::estimate_ready_in(&self.swarm.progress()?, self.load_time.get())
     }
 
-    async fn order(&self, target: &Target) {
-        self.is_ordering.set(true);
+    async fn order_load(&self, target: &Target) {
+        self.is_load_in_progress.set(true);
         self.report_now.notify_one();
-        if self.held().is_some() && self.may_cut() {
-            self.empty().await;
+        if self.held_version().is_some() && self.may_interrupt_streams() {
+            self.drain().await;
         }
-        let ordered = self.order_checked(target).await;
+        let ordered = self.verify_and_order_load(target).await;
         if ordered {
             self.swarm.drop_older_version().await;
-            self.wait_for(target.version).await;
+            self.wait_until_loaded(target.version).await;
         }
-        self.is_ordering.set(false);
+        self.is_load_in_progress.set(false);
         self.report_now.notify_one();
         if !ordered {
-            sleep(ORDER_RETRY).await;
+            sleep(ORDER_RETRY_DELAY).await;
         }
     }
 
-    /// Waits a while for requests to end, as entries send no new ones.
-    async fn empty(&self) {
+    /// Waits until running requests complete or [`DRAIN_TIMEOUT`] expires. Entries send no new requests.
+    async fn drain(&self) {
         let began = self.clock.now();
-        while !self.clock.now().passed(began, EMPTY_FOR) {
-            sleep(LOAD_POLL).await;
+        while !self.clock.now().passed(began, DRAIN_TIMEOUT) {
+            sleep(LOAD_POLL_INTERVAL).await;
             let report = self.report.borrow();
             if report.as_ref().is_some_and(|r| r.load.running + r.load.waiting == 0) {
                 return;
@@ -100,13 +102,14 @@
         }
     }
 
-    /// Orders the load of a version that has just been read once more.
-    async fn order_checked(&self, target: &Target) -> bool {
+    /// Verifies the staged chunks and orders the endpoint to load them. Returns whether the order was accepted.
+    async fn verify_and_order_load(&self, target: &Target) -> bool {
         if !self.swarm.verify_staged(target).await {
             return false;
         }
-        let may_cut = self.may_cut();
-        let mode = if may_cut { LoadMode::CutRunning } else { LoadMode::AfterRunning };
+        let may_interrupt_streams = self.may_interrupt_streams();
+        let mode =
+            if may_interrupt_streams { LoadMode::CutRunning } else { LoadMode::AfterRunning };
         match self.staging.load(&target.model, target.version, mode).await {
             Ok(()) => {
                 slog::info!(self.log, "load ordered"; "version" => target.version,
@@ -114,29 +117,29 @@
                 true
             }
             Err(e) => {
-                slog::warn!(self.log, "load not ordered"; "version" => target.version,
+                slog::warn!(self.log, "load order failed"; "version" => target.version,
                     "error" => e.as_str(), "detail" => format!("{e:?}"));
                 false
             }
         }
     }
 
-    /// Waits until the endpoint shows the version or that it has not carried out the order.
-    async fn wait_for(&self, version: u64) {
+    /// Waits until the endpoint reports the version, or reports that it is not executing the order.
+    async fn wait_until_loaded(&self, version: u64) {
         let began = self.clock.now();
-        while !self.clock.now().passed(began, ORDER_SHOWN_WITHIN) {
-            sleep(LOAD_POLL).await;
+        while !self.clock.now().passed(began, LOAD_TIMEOUT) {
+            sleep(LOAD_POLL_INTERVAL).await;
             let is_busy = self.report.borrow().as_ref().is_some_and(|report| report.is_busy);
-            if self.held() == Some(version) {
-                let took = self.clock.now().since(began);
-                self.load_time.set(took);
-                slog::info!(self.log, "weights in use"; "version" => version,
-                    "took_ms" => took.as_millis() as u64);
+            if self.held_version() == Some(version) {
+                let load_time = self.clock.now().since(began);
+                self.load_time.set(load_time);
+                slog::info!(self.log, "weights loaded"; "version" => version,
+                    "took_ms" => load_time.as_millis() as u64);
                 return;
             }
-            let has_shown = self.clock.now().passed(began, REPORT_EVERY * 3);
-            if has_shown && !is_busy {
-                slog::warn!(self.log, "load not carried out"; "version" => version);
+            let has_report_arrived = self.clock.now().passed(began, REPORT_INTERVAL * 3);
+            if has_report_arrived && !is_busy {
+                slog::warn!(self.log, "load order not executed"; "version" => version);
                 return;
             }
         }
--- a/node/src/direct/agent/reports.rs
+++ b/node/src/direct/agent/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of the endpoint's load to the entries that ask for them.
+//! Reports the endpoint's load to the entries that subscribe to it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,22 +18,23 @@
 use crate::direct::load_reports::ReportRequest;
 use crate::direct::load_reports::receive;
 
-/// How often the endpoint is asked for its load, which is free on its own host.
-pub(super) const REPORT_EVERY: Duration = Duration::from_millis(100);
+/// Interval between requests for the endpoint's load, which use no network link as they stay on the host.
+pub(super) const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A report that says the same as the last one is sent only every so many times.
-const SAME_REPORT_EVERY: u32 = 2;
+/// An unchanged report is sent only in every n-th interval.
+const UNCHANGED_REPORT_PERIOD: u32 = 2;
 
 impl Agent {
-    /// Takes in what entries ask and tell.
-    pub(super) async fn listen(self: Rc<Self>, socket: Rc<UdpSocket>) {
+    /// Receives requests of entries and applies the state they contain; runs until the process exits.
+    pub(super) async fn receive_requests(self: Rc<Self>, socket: Rc<UdpSocket>) {
         loop {
             let Some((req, from)) = receive::<ReportRequest>(&socket).await else {
                 self.metrics.count("asks_unreadable");
                 continue;
             };
-            let own = self.model().map(|model| model.name);
-            let oldest = req.weights.iter().find(|weights| own.as_ref() == Some(&weights.model));
+            let own_model = self.model().map(|model| model.name);
+            let oldest =
+                req.weights.iter().find(|weights| own_model.as_ref() == Some(&weights.model));
             let subscriber = Subscriber {
                 asked_us: req.sent_us,
                 received_at: self.clock.now(),
@@ -49,36 +50,36 @@
                 self.apply_setup(update);
             }
             for weights in &req.weights {
-                self.named(&weights.model, weights.newest);
+                self.record_announcement(&weights.model, weights.newest);
             }
         }
     }
 
-    /// Asks the endpoint for its load and sends it to the entries.
-    pub(super) async fn report(self: Rc<Self>, socket: Rc<UdpSocket>) {
-        let mut same = 0;
-        let mut turn = 0;
+    /// Polls the endpoint's load and sends reports to entries; runs until the process exits.
+    pub(super) async fn send_reports(self: Rc<Self>, socket: Rc<UdpSocket>) {
+        let mut unchanged = 0;
+        let mut round = 0;
         let mut last: Option<LoadReport> = None;
         loop {
-            let _ = timeout(REPORT_EVERY, self.report_now.notified()).await;
+            let _ = timeout(REPORT_INTERVAL, self.report_now.notified()).await;
             let setup = self.setup.borrow().as_ref().map(|update| update.setup.clone());
             let layers = setup.as_ref().map_or(0, |setup| setup.model.layers);
             let report = match self.staging.report(layers).await {
                 Ok(report) => report,
                 Err(e) => {
                     if self.report.borrow_mut().take().is_some() {
-                        slog::warn!(self.log, "endpoint lost"; "error" => e.as_str());
+                        slog::warn!(self.log, "endpoint report failed"; "error" => e.as_str());
                     }
                     continue;
                 }
             };
-            self.note_life(&report);
-            let (near, beside_origin) = self.subscribers.borrow().caches(self.clock.now());
-            self.swarm.set_caches(near, beside_origin);
-            // Only a link that carries no live requests is free for weights.
+            self.log_endpoint_change(&report);
+            let (regional, in_origin_region) = self.subscribers.borrow().caches(self.clock.now());
+            self.swarm.set_caches(regional, in_origin_region);
+            // An endpoint without weights serves no requests, so its link is free for chunks.
             self.swarm.set_link_shared(!report.load.weights.is_empty());
             let mut load = report.load.clone();
-            load.is_accepting &= !self.is_ordering.get();
+            load.is_accepting &= !self.is_load_in_progress.get();
             let now = self.clock.now();
             let count = self.subscribers.borrow().count(self.started, now);
             load.entries = count.entries;
@@ -88,52 +89,60 @@
             load.relay = self.subscribers.borrow().relay(now);
             load.root = self.subscribers.borrow().root(now);
             *self.report.borrow_mut() = Some(report);
-            same = if last.as_ref() == Some(&load) { same + 1 } else { 0 };
-            let is_turned = last.as_ref().is_none_or(|last| !serves_alike(last, &load));
-            turn += 1;
-            if same % SAME_REPORT_EVERY == 0 || is_turned {
+            unchanged = if last.as_ref() == Some(&load) { unchanged + 1 } else { 0 };
+            let has_availability_changed =
+                last.as_ref().is_none_or(|last| !has_same_availability(last, &load));
+            round += 1;
+            if unchanged % UNCHANGED_REPORT_PERIOD == 0 || has_availability_changed {
                 let setup_id = setup.as_ref().map_or(0, ModelSetup::fingerprint);
-                let is_for_all = is_turned || turn % FAR_EVERY == 0;
-                self.send(&socket, load.clone(), setup_id, is_for_all);
+                let to_all_regions = has_availability_changed || round % FAR_EVERY == 0;
+                self.send_report(&socket, load.clone(), setup_id, to_all_regions);
             }
             last = Some(load);
         }
     }
 
-    /// An endpoint that started again has lost its layers and, after a loss of power, what was staged.
-    fn note_life(&self, report: &Report) {
-        let before = self.report.borrow().as_ref().map(|report| report.load.started_ms);
-        if before != Some(report.load.started_ms) {
-            slog::info!(self.log, "endpoint seen"; "born" => report.load.started_ms,
+    /// Logs that the endpoint has started or is reachable again. A start of the endpoint loses its layers and,
+    /// after a power loss, the staged chunks.
+    fn log_endpoint_change(&self, report: &Report) {
+        let last_started_ms = self.report.borrow().as_ref().map(|report| report.load.started_ms);
+        if last_started_ms != Some(report.load.started_ms) {
+            slog::info!(self.log, "endpoint connected"; "born" => report.load.started_ms,
                 "weights" => report.load.weights.first().map_or(0, |(_, version)| *version));
         }
     }
 
-    /// Versions that are so young that older ones may still answer, or have just been barred.
-    fn named_lately(&self, now: Time) -> Vec<NamedVersion> {
+    /// Versions announced so recently that entries may still use older ones or have only just stopped doing so.
+    fn recent_announcements(&self, now: Time) -> Vec<NamedVersion> {
         let Some(model) = self.model().map(|model| model.name) else {
             return Vec::new();
         };
-        let young = Duration::from_millis(self.cfg.bounds.weights_ms) * 2;
+        let max_age = Duration::from_millis(self.cfg.bounds.weights_ms) * 2;
         let versions = self.versions.borrow();
         let named = versions.ages(now).filter_map(|(version, age)| Some((version, age?)));
-        let lately = named.filter(|(_, age)| *age < young).map(|(version, age)| NamedVersion {
+        let recent = named.filter(|(_, age)| *age < max_age).map(|(version, age)| NamedVersion {
             model: model.clone(),
             version,
             known_for_ms: age.as_millis() as u32,
         });
-        lately.collect()
+        recent.collect()
     }
 
-    fn send(&self, socket: &UdpSocket, report: LoadReport, setup: u32, is_for_all: bool) {
+    fn send_report(
+        &self,
+        socket: &UdpSocket,
+        report: LoadReport,
+        setup: u32,
+        to_all_regions: bool,
+    ) {
         let now = self.clock.now();
         let port = self.staging.address().port();
         let (relay, root) = (report.relay, report.root);
         let report = Some(report).filter(|_| setup != 0);
-        let named = self.named_lately(now);
+        let named = self.recent_announcements(now);
         let mut msg = ReportMessage { port, report, asked_us: 0, held_us: 0, setup, named };
-        for (address, subscriber) in self.subscribers.borrow().receivers(is_for_all, now) {
-            // Entries of other regions have a relay of their own, and hear of the root there.
+        for (address, subscriber) in self.subscribers.borrow().receivers(to_all_regions, now) {
+            // Entries of other regions have their own relay and receive the root from agents there.
             if let Some(report) = &mut msg.report {
                 report.relay = relay.filter(|_| !subscriber.is_far);
                 report.root = root.filter(|_| !subscriber.is_far);
@@ -141,15 +150,17 @@
             msg.asked_us = subscriber.asked_us;
             msg.held_us = now.since(subscriber.received_at).as_micros() as u64;
             match postcard::to_stdvec(&msg) {
-                // A datagram may be lost anyway; the next report follows.
+                // Datagrams may be lost; the next report replaces this one.
                 Ok(bytes) => drop(socket.try_send_to(&bytes, address)),
-                Err(e) => slog::error!(self.log, "report not encoded"; "error" => e.to_string()),
+                Err(e) => {
+                    slog::error!(self.log, "report encoding failed"; "error" => e.to_string())
+                }
             }
         }
     }
 }
 
-/// Whether two reports say the same of what the endpoint may be sent, whatever its load.
-fn serves_alike(a: &LoadReport, b: &LoadReport) -> bool {
+/// Whether two reports agree on which requests the endpoint accepts, regardless of its load.
+fn has_same_availability(a: &LoadReport, b: &LoadReport) -> bool {
     (a.is_accepting, a.started_ms, &a.weights) == (b.is_accepting, b.started_ms, &b.weights)
 }
--- a/node/src/direct/agent/setup.rs
+++ b/node/src/direct/agent/setup.rs
@@ -1,4 +1,4 @@
-//! What the agent learns: its service, its peers, and the newest version of its model.
+//! Discovers the agent's service setup, its peers and the newest version of its model.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -24,68 +24,70 @@
 use tokio::time::timeout;
 
 use super::Agent;
-use super::host_at;
+use super::host_name_of;
 use crate::direct::load_reports::SetupUpdate;
 use crate::direct::peers;
 use crate::direct::store::StoreClient;
 
-/// Pause between tries to learn the setup.
-const LEARN_EVERY: Duration = Duration::from_millis(300);
+/// Interval between checks for the setup during startup.
+const SETUP_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time from the start after which an agent that no entry asks reads the setup in the store, drawn at
-/// random. Entries ask about a second after they start, later if the configuration is large.
-const SETUP_PATIENCE: Range<Duration> = Duration::from_secs(3)..Duration::from_secs(6);
+/// Delay after the start, with jitter, before an agent without a setup from an entry reads it from the store.
+/// Entries send it about a second after they start, or later if the configuration is large.
+const STORE_FALLBACK_DELAY: Range<Duration> = Duration::from_secs(3)..Duration::from_secs(6);
 
-/// How often peers are read again while chunks are missing. An entry of the zone is asked, and answers in a
-/// few bytes if nothing has changed.
-const PEERS_EVERY: Duration = Duration::from_millis(1_000);
+/// Interval between updates of the peer list while chunks are missing. The list is requested from an entry of
+/// the region, which replies with a few bytes if the list is unchanged.
+const PEER_LIST_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time for an entry to tell the peers, and entries that are asked at most before the store is.
-const PEERS_WITHIN: Duration = Duration::from_millis(500);
-const PEERS_TRIES: usize = 2;
+/// Timeout of a peer list request to an entry, and the maximum number of entries tried before the store.
+const PEER_LIST_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_PEER_LIST_ATTEMPTS: usize = 2;
 
-/// How often the store is asked for the newest version while no entry asks: entries tell it else.
-const ALONE_EVERY: Duration = Duration::from_millis(3_000);
+/// Interval between reads of the newest version from the store while no entry sends requests, which otherwise
+/// contain it.
+const STORE_POLL_INTERVAL: Duration = Duration::from_millis(3_000);
 
-/// Version that a model has before any is named.
-const FIRST_VERSION: u64 = 1;
+/// Version of a model for which no version has been announced.
+const INITIAL_VERSION: u64 = 1;
 
 impl Agent {
-    /// Learns the setup, the peers and the newest version, then follows them.
-    pub(super) async fn follow(self: Rc<Self>) {
+    /// Fetches the setup, the peers and the newest version, then keeps them current; runs until the process exits.
+    pub(super) async fn follow_updates(self: Rc<Self>) {
         let mut client = StoreClient::new(self.cfg.store, self.metrics.clone());
-        self.until_set_up(&mut client).await;
+        self.wait_for_setup(&mut client).await;
         self.fetch_peers(&mut client).await;
-        self.fetch_newest(&mut client).await;
+        self.fetch_newest_version(&mut client).await;
         loop {
-            let wait = if self.swarm.is_complete() { ALONE_EVERY } else { PEERS_EVERY };
+            let wait =
+                if self.swarm.is_complete() { STORE_POLL_INTERVAL } else { PEER_LIST_INTERVAL };
             let is_updated = timeout(wait, self.updated.notified()).await.is_ok();
-            let is_alone = self.subscribers.borrow().len(self.clock.now()) == 0;
+            let has_no_subscribers = self.subscribers.borrow().len(self.clock.now()) == 0;
             if is_updated || !self.swarm.is_complete() {
                 self.fetch_peers(&mut client).await;
             }
-            if is_alone || self.newest.get().is_none() {
-                self.fetch_newest(&mut client).await;
+            if has_no_subscribers || self.newest.get().is_none() {
+                self.fetch_newest_version(&mut client).await;
             }
         }
     }
 
-    /// Waits until an entry has sent the setup, or reads it in the store if none does.
-    async fn until_set_up(&self, client: &mut StoreClient) {
-        let patience = rand::random_range(SETUP_PATIENCE);
+    /// Waits until an entry sends the setup; reads it from the store if none does in time.
+    async fn wait_for_setup(&self, client: &mut StoreClient) {
+        let fallback_delay = rand::random_range(STORE_FALLBACK_DELAY);
         while self.setup.borrow().is_none() {
-            let _ = timeout(LEARN_EVERY, self.updated.notified()).await;
-            let is_unset = self.setup.borrow().is_none();
-            if is_unset && self.clock.now().passed(self.started, patience) {
-                self.read_setup(client).await;
+            let _ = timeout(SETUP_POLL_INTERVAL, self.updated.notified()).await;
+            let is_missing = self.setup.borrow().is_none();
+            if is_missing && self.clock.now().passed(self.started, fallback_delay) {
+                self.fetch_setup_from_store(client).await;
             }
         }
     }
 
-    async fn read_setup(&self, client: &mut StoreClient) {
+    async fn fetch_setup_from_store(&self, client: &mut StoreClient) {
         let objects = match client.list(Kind::Config, true).await {
             Ok((objects, _)) => objects,
-            Err(e) => return self.note_store(Kind::Config, e.as_str()),
+            Err(e) => return self.record_store_failure(Kind::Config, e.as_str()),
         };
         let Some(catalog) = objects.iter().find_map(config::scan_config) else {
             return;
@@ -97,70 +99,70 @@
         }
     }
 
-    /// Goes by a setup unless a newer one is known.
+    /// Applies a setup unless the current one is from the same or a newer configuration.
     pub(super) fn apply_setup(&self, update: SetupUpdate) {
         let known = self.setup.borrow().clone();
         if known.as_ref().is_some_and(|known| known.version >= update.version) {
             return;
         }
-        // Entries that have just started send what is known already. Were that a change, each agent would
-        // read the peers anew for each of them.
-        let is_new = known.is_none_or(|known| known.setup != update.setup);
+        // Newly started entries send a setup that is already applied. If that counted as a change, each agent
+        // would fetch its peers again for each of these entries.
+        let is_changed = known.is_none_or(|known| known.setup != update.setup);
         let origin = update.setup.origin.as_ref().map(|origin| origin.address);
         let (model, version) = (update.setup.model.name.clone(), update.version);
         *self.setup.borrow_mut() = Some(update);
-        if is_new {
-            slog::info!(self.log, "service known"; "model" => model.as_str(), "config" => version);
+        if is_changed {
+            slog::info!(self.log, "setup applied"; "model" => model.as_str(), "config" => version);
             self.swarm.set_origin(origin);
             self.updated.notify_one();
         }
     }
 
-    /// The model of the own service.
+    /// The model of this agent's service; `None` until the setup is known.
     pub(super) fn model(&self) -> Option<ModelShape> {
         self.setup.borrow().as_ref().map(|update| update.setup.model.clone())
     }
 
-    /// Whether all streams of the service can be continued elsewhere.
-    pub(super) fn may_cut(&self) -> bool {
+    /// Whether all streams of the service can be resumed at another endpoint.
+    pub(super) fn may_interrupt_streams(&self) -> bool {
         self.setup.borrow().as_ref().is_some_and(|update| update.setup.is_resumable)
     }
 
-    /// Chunks that first go to another region than the origin's cross one more border.
+    /// The origin's region. A chunk that is first sent to another region crosses one more region boundary.
     fn origin_region(&self) -> Option<RegionName> {
         let setup = self.setup.borrow();
         let origin = setup.as_ref()?.setup.origin.as_ref()?;
         self.cfg.regions.get(&origin.zone).cloned()
     }
 
-    fn note_store(&self, kind: Kind, error: &'static str) {
+    fn record_store_failure(&self, kind: Kind, error: &'static str) {
         self.metrics.count("store_failures");
-        slog::warn!(self.log, "store not read"; "kind" => kind.as_str(), "error" => error);
+        slog::warn!(self.log, "store read failed"; "kind" => kind.as_str(), "error" => error);
     }
 
-    /// Takes in the peers, as an entry tells them, or the store if none does.
+    /// Fetches the peers from an entry, or from the store if no entry replies.
     async fn fetch_peers(&self, client: &mut StoreClient) {
-        match self.ask_entries_for_peers().await {
+        match self.fetch_peers_from_entries().await {
             Some(PeerList { id, peers: Some(peers) }) => {
                 self.peer_list.set(id);
                 self.set_peers(peers);
             }
             Some(PeerList { peers: None, .. }) => {}
-            None => self.list_peers(client).await,
+            None => self.fetch_peers_from_store(client).await,
         }
     }
 
-    async fn ask_entries_for_peers(&self) -> Option<PeerList> {
+    async fn fetch_peers_from_entries(&self) -> Option<PeerList> {
         let service = self.cfg.service.clone()?;
         let hello = Hello::Peers { service, known_id: self.peer_list.get() };
         let mut entries = self.subscribers.borrow().regional_entries(self.clock.now());
         entries.shuffle(&mut rand::rng());
-        for ip in entries.into_iter().take(PEERS_TRIES) {
+        for ip in entries.into_iter().take(MAX_PEER_LIST_ATTEMPTS) {
             let address = SocketAddr::new(ip, self.cfg.agent_port);
-            match peers::ask(address, &hello, PEERS_WITHIN).await {
+            match peers::ask(address, &hello, PEER_LIST_TIMEOUT).await {
                 Ok(list) => return Some(list),
                 Err(e) => {
-                    slog::info!(self.log, "peers not received"; "entry" => address.to_string(),
+                    slog::info!(self.log, "peer list request failed"; "entry" => address.to_string(),
                     "error" => e.as_str())
                 }
             }
@@ -168,10 +170,10 @@
         None
     }
 
-    async fn list_peers(&self, client: &mut StoreClient) {
+    async fn fetch_peers_from_store(&self, client: &mut StoreClient) {
         let objects = match client.list(Kind::Endpoints, true).await {
             Ok((objects, _)) => objects,
-            Err(e) => return self.note_store(Kind::Endpoints, e.as_str()),
+            Err(e) => return self.record_store_failure(Kind::Endpoints, e.as_str()),
         };
         let layers = self.model().map(|model| model.layers);
         let mine = self.cfg.service.clone();
@@ -187,41 +189,43 @@
     fn set_peers(&self, peers: Vec<PeerEndpoint>) {
         let regions = self.cfg.regions();
         let region_of = |zone: &ZoneName| regions.get(zone).cloned().unwrap_or_default();
-        let place_of = |peer: PeerEndpoint| {
+        let location_of = |peer: PeerEndpoint| {
             let at = SocketAddr::new(peer.address.ip(), self.cfg.agent_port);
             let region = region_of(&peer.zone);
-            let place = PeerLocation { host: host_at(peer.address), zone: peer.zone, region };
-            (place, at)
+            let location =
+                PeerLocation { host: host_name_of(peer.address), zone: peer.zone, region };
+            (location, at)
         };
-        let mut places: Vec<(PeerLocation, SocketAddr)> = peers.into_iter().map(place_of).collect();
-        if !places.iter().any(|(place, _)| place.host == self.place.host) {
+        let mut locations: Vec<(PeerLocation, SocketAddr)> =
+            peers.into_iter().map(location_of).collect();
+        if !locations.iter().any(|(location, _)| location.host == self.location.host) {
             let at = SocketAddr::new(self.staging.address().ip(), self.cfg.agent_port);
-            places.push((self.place.clone(), at));
+            locations.push((self.location.clone(), at));
         }
-        // By a hash, so that hosts of a zone do not load one right after the other.
-        places.sort_by_key(|(place, _)| Digest::of(place.host.as_str().as_bytes()));
-        let rank = places.iter().position(|(place, _)| place.host == self.place.host);
-        self.rank.set((rank.unwrap_or(0) as u32, places.len() as u32));
-        self.swarm.set_peers(&places, self.origin_region().as_ref());
+        // The order is by hash so that hosts of one zone do not load in direct succession.
+        locations.sort_by_key(|(location, _)| Digest::of(location.host.as_str().as_bytes()));
+        let rank = locations.iter().position(|(location, _)| location.host == self.location.host);
+        self.rank.set((rank.unwrap_or(0) as u32, locations.len() as u32));
+        self.swarm.set_peers(&locations, self.origin_region().as_ref());
     }
 
-    /// Asks the store for the newest version; the first one needs no entry there.
-    async fn fetch_newest(&self, client: &mut StoreClient) {
+    /// Reads the newest version from the store. A model without a record there is at [`INITIAL_VERSION`].
+    async fn fetch_newest_version(&self, client: &mut StoreClient) {
         let Some(model) = self.model().map(|model| model.name) else {
             return;
         };
         let objects = match client.list(Kind::Weights, true).await {
             Ok((objects, _)) => objects,
-            Err(e) => return self.note_store(Kind::Weights, e.as_str()),
+            Err(e) => return self.record_store_failure(Kind::Weights, e.as_str()),
         };
         let named = objects.iter().filter_map(weights::scan_newest);
         let version =
             named.filter(|newest| newest.model == model).map(|newest| newest.version).max();
-        self.named(&model, version.unwrap_or(FIRST_VERSION));
+        self.record_announcement(&model, version.unwrap_or(INITIAL_VERSION));
     }
 
-    /// A version was named. Lower ones than known are ignored.
-    pub(super) fn named(&self, model: &SmolStr, version: u64) {
+    /// Records the announcement of a version; older versions and those of other models are ignored.
+    pub(super) fn record_announcement(&self, model: &SmolStr, version: u64) {
         if self.model().is_none_or(|own| own.name != *model) {
             return;
         }
@@ -232,7 +236,7 @@
         let now = self.clock.now();
         self.newest.set(Some((version, now)));
         self.versions.borrow_mut().record_announcement(version, now);
-        self.swarm.set_wanted_version(model, version, self.held());
+        self.swarm.set_wanted_version(model, version, self.held_version());
         self.updated.notify_one();
     }
 }
--- a/node/src/direct/swarm.rs
+++ b/node/src/direct/swarm.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Replaces the agents that participate, including this one. Chunks enter the region of the origin first.
+    /// Replaces the participating agents, including this one, and the origin's region, if it is known.
     pub fn set_peers(
         &self,
         locations: &[(PeerLocation, SocketAddr)],
@@ -152,7 +152,7 @@
     }
 
     /// Sets the version to download. The download of the previous version continues only if it is newer than
-    /// `held`, the version that the endpoint has loaded, and at least [`MIN_FRACTION_TO_FINISH`] of its chunks
+    /// `held`, the version that the endpoint has loaded, and at least `MIN_FRACTION_TO_FINISH` of its chunks
     /// are available from peers.
     pub fn set_wanted_version(&self, model: &SmolStr, version: u64, held: Option<u64>) {
         let digest = version_digest(model, version);
--- a/node/tests/direct/agent.rs
+++ b/node/tests/direct/agent.rs
@@ -153,7 +153,7 @@
     let _entry = site.entry("told-entry");
     site.store.set_fault(StoreFault::Silent);
     let agent = site.agent("told-agent", &endpoint);
-    until("the service is known", || agent.log().contains("service known"));
+    until("the service is known", || agent.log().contains("setup applied"));
     site.store.set_fault(StoreFault::None);
 }
 
