--- a/node/src/direct.rs
+++ b/node/src/direct.rs
@@ -5,13 +5,14 @@
 //! one over a connection of [`pool`], and `stream` passes events on to the body of [`relay`]. What an
 //! entry knows comes from the platform's store by [`watch`], or from another entry by
 //! [`replication`], into `updates`, and from agents by [`load_reports`]. The agent's part is [`agent`], with
-//! [`swarm`] and [`staging`].
+//! [`swarm`] and [`endpoint_client`].
 
 pub mod agent;
 mod attempt;
 pub mod call;
 pub mod chunk_cache;
 mod chunk_server;
+pub mod endpoint_client;
 pub mod entry;
 pub mod explain;
 mod followers;
@@ -29,7 +30,6 @@
 pub mod relay;
 pub mod replication;
 pub mod settings;
-pub mod staging;
 pub mod state;
 mod steps;
 pub mod store;
--- a/node/src/direct/agent.rs
+++ b/node/src/direct/agent.rs
@@ -34,12 +34,12 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
+use super::endpoint_client::EndpointClient;
 use super::load_reports::SetupUpdate;
 use super::log::EventLog;
 use super::metrics::Metrics;
 use super::relay::AnswerBody;
 use super::settings::DirectSettings;
-use super::staging::Staging;
 use super::swarm::SwarmDriver;
 use crate::clock::BootClock;
 
@@ -56,7 +56,7 @@
     started: Time,
     log: slog::Logger,
     metrics: Rc<Metrics>,
-    staging: Rc<Staging>,
+    endpoint_client: Rc<EndpointClient>,
     swarm: Rc<SwarmDriver>,
     location: PeerLocation,
     /// The setup of this agent's service and the configuration version it is from; `None` until received.
@@ -94,19 +94,20 @@
     let metrics_listener = TcpListener::bind((cfg.ip, cfg.metrics_port)).await?;
     let clock = BootClock::start();
     let metrics = Rc::new(Metrics::default());
-    let staging = Rc::new(Staging::new(endpoint));
+    let endpoint_client = Rc::new(EndpointClient::new(endpoint));
     let location =
         PeerLocation { host: host_name_of(endpoint), zone: cfg.zone.clone(), region: cfg.region() };
     let root = log.root.clone();
     let port = cfg.agent_port;
-    let swarm = SwarmDriver::new(&location, clock, root, metrics.clone(), staging.clone(), port);
+    let swarm =
+        SwarmDriver::new(&location, clock, root, metrics.clone(), endpoint_client.clone(), port);
     let agent = Rc::new(Agent {
         cfg,
         clock,
         started: clock.now(),
         log: log.root.clone(),
         metrics,
-        staging,
+        endpoint_client,
         swarm: Rc::new(swarm),
         location,
         setup: RefCell::default(),
--- a/node/src/direct/agent/loading.rs
+++ b/node/src/direct/agent/loading.rs
@@ -110,7 +110,7 @@
         let may_interrupt_streams = self.may_interrupt_streams();
         let mode =
             if may_interrupt_streams { LoadMode::CutRunning } else { LoadMode::AfterRunning };
-        match self.staging.load(&target.model, target.version, mode).await {
+        match self.endpoint_client.order_load(&target.model, target.version, mode).await {
             Ok(()) => {
                 slog::info!(self.log, "load ordered"; "version" => target.version,
                     "rank" => self.rank.get().0);
--- a/node/src/direct/agent/reports.rs
+++ b/node/src/direct/agent/reports.rs
@@ -64,7 +64,7 @@
             let _ = timeout(REPORT_INTERVAL, self.report_now.notified()).await;
             let setup = self.setup.borrow().as_ref().map(|update| update.setup.clone());
             let layers = setup.as_ref().map_or(0, |setup| setup.model.layers);
-            let report = match self.staging.report(layers).await {
+            let report = match self.endpoint_client.fetch_report(layers).await {
                 Ok(report) => report,
                 Err(e) => {
                     if self.report.borrow_mut().take().is_some() {
@@ -136,7 +136,7 @@
         to_all_regions: bool,
     ) {
         let now = self.clock.now();
-        let port = self.staging.address().port();
+        let port = self.endpoint_client.address().port();
         let (relay, root) = (report.relay, report.root);
         let report = Some(report).filter(|_| setup != 0);
         let named = self.recent_announcements(now);
--- a/node/src/direct/agent/setup.rs
+++ b/node/src/direct/agent/setup.rs
@@ -52,7 +52,8 @@
 const INITIAL_VERSION: u64 = 1;
 
 impl Agent {
-    /// Fetches the setup, the peers and the newest version, then keeps them current; runs until the process exits.
+    /// Fetches the setup, the peers and the newest version, then keeps them current; runs until the process
+    /// exits.
     pub(super) async fn follow_updates(self: Rc<Self>) {
         let mut client = StoreClient::new(self.cfg.store, self.metrics.clone());
         self.wait_for_setup(&mut client).await;
@@ -199,7 +200,7 @@
         let mut locations: Vec<(PeerLocation, SocketAddr)> =
             peers.into_iter().map(location_of).collect();
         if !locations.iter().any(|(location, _)| location.host == self.location.host) {
-            let at = SocketAddr::new(self.staging.address().ip(), self.cfg.agent_port);
+            let at = SocketAddr::new(self.endpoint_client.address().ip(), self.cfg.agent_port);
             locations.push((self.location.clone(), at));
         }
         // The order is by hash so that hosts of one zone do not load in direct succession.
--- a/node/src/direct/chunk_cache.rs
+++ b/node/src/direct/chunk_cache.rs
@@ -1,6 +1,6 @@
-//! Chunks of weights that an entry keeps for the agents of its region.
+//! Cache of weight chunks that an entry serves to the agents of its region.
 //!
-//! A chunk is named by its digest and kept until a newer version is asked for.
+//! Chunks are keyed by digest. Chunks of older versions are evicted when a newer version is requested.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,27 +18,29 @@
 
 use super::swarm::MIN_FRACTION_TO_FINISH;
 
-/// How long a chunk that cannot be had is tried for after somebody has asked for it last.
-const WANTED_FOR: Duration = Duration::from_millis(1_500);
+/// Time after the last request for a chunk during which a failed download of it is retried.
+const REQUEST_TTL: Duration = Duration::from_millis(1_500);
 
-/// Chunks that one entry takes from the origin at once; a few entries together keep its link busy.
-const FROM_ORIGIN: usize = 2;
+/// Maximum number of concurrent requests of one entry to the origin; a few entries together saturate its link.
+const MAX_ORIGIN_REQUESTS: usize = 2;
 
-/// Pieces under way to agents at once. Each waits on the agent's narrow link; with fewer of them this host's
-/// link would be idle, with more the events of streams would wait behind them.
-const PIECES_OUT: usize = 32;
+/// Maximum number of pieces in flight to agents. Agents have low bandwidth, so with fewer pieces this host's
+/// link would be idle; with more, the events of streams would queue behind them.
+const MAX_OUTGOING_PIECES: usize = 32;
 
-/// Pieces under way from other entries at once.
-const PIECES_IN: usize = 16;
+/// Maximum number of pieces in flight from other entries.
+const MAX_INCOMING_PIECES: usize = 16;
 
-/// Chunks kept or on their way at most. An entry hands out one of as many chunks as its region has entries.
+/// Maximum number of cached and pending chunks. Each entry serves a 1/n share of a version's chunks, where n is
+/// the number of entries in its region.
 const MAX_CHUNKS: usize = 256;
 
+/// State of a chunk in the cache.
 #[derive(Clone, Debug)]
 pub(super) enum Content {
-    Awaited,
-    Here(Bytes),
-    /// The source does not have it and will not.
+    Pending,
+    Available(Bytes),
+    /// The origin refused the request for the chunk; it is not retried.
     Absent,
 }
 
@@ -46,38 +48,38 @@
 struct Slot {
     model: SmolStr,
     version: u64,
-    asked_at: Time,
+    requested_at: Time,
     content: Content,
 }
 
-/// The newest version of a model that was asked for.
+/// The newest requested version of a model.
 #[derive(Clone, Debug)]
 struct Newest {
     version: u64,
-    /// When it was asked for first.
-    since: Time,
-    /// Older versions that had hardly begun to come then.
-    left: HashSet<u64>,
+    /// Time of the first request for the version.
+    first_requested_at: Time,
+    /// Older versions of which only a small fraction was available at that time.
+    abandoned: HashSet<u64>,
 }
 
 impl Newest {
-    /// Whether a chunk is of an older version that is left, and nobody has asked for it since.
-    fn leaves(&self, slot: &Slot) -> bool {
-        self.left.contains(&slot.version) && self.since >= slot.asked_at
+    /// Whether a chunk belongs to an abandoned version and has not been requested since.
+    fn abandons(&self, slot: &Slot) -> bool {
+        self.abandoned.contains(&slot.version) && self.first_requested_at >= slot.requested_at
     }
 }
 
-/// The chunks of one entry.
+/// The chunks that one entry caches or downloads.
 #[derive(Debug)]
 pub struct ChunkCache {
     slots: RefCell<HashMap<Digest, Slot>>,
     newest: RefCell<HashMap<SmolStr, Newest>>,
     pub(super) changed: Notify,
-    pub(super) out: Semaphore,
-    pub(super) intake: Semaphore,
-    pub(super) from_origin: Semaphore,
-    /// Whether the last call to the origin failed.
-    pub(super) is_origin_lost: Cell<bool>,
+    pub(super) upload_slots: Semaphore,
+    pub(super) download_slots: Semaphore,
+    pub(super) origin_slots: Semaphore,
+    /// Whether the last request to the origin failed.
+    pub(super) is_origin_failing: Cell<bool>,
 }
 
 impl Default for ChunkCache {
@@ -86,22 +88,22 @@
             slots: RefCell::default(),
             newest: RefCell::default(),
             changed: Notify::new(),
-            out: Semaphore::new(PIECES_OUT),
-            intake: Semaphore::new(PIECES_IN),
-            from_origin: Semaphore::new(FROM_ORIGIN),
-            is_origin_lost: Cell::new(false),
+            upload_slots: Semaphore::new(MAX_OUTGOING_PIECES),
+            download_slots: Semaphore::new(MAX_INCOMING_PIECES),
+            origin_slots: Semaphore::new(MAX_ORIGIN_REQUESTS),
+            is_origin_failing: Cell::new(false),
         }
     }
 }
 
 impl ChunkCache {
-    /// Chunks that are here.
+    /// Number of available chunks; pending ones are not counted.
     pub fn len(&self) -> usize {
         let slots = self.slots.borrow();
-        slots.values().filter(|slot| matches!(slot.content, Content::Here(_))).count()
+        slots.values().filter(|slot| matches!(slot.content, Content::Available(_))).count()
     }
 
-    /// Whether no chunk is here.
+    /// Whether no chunk is available.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -110,85 +112,88 @@
         self.slots.borrow().get(&digest).map(|slot| slot.content.clone())
     }
 
-    /// Notes a request; says whether the chunk is to be fetched for it. `None` if there is no room.
-    pub(super) fn note_request(&self, req: &ChunkRequest, now: Time) -> Option<bool> {
-        self.note_version(req, now);
+    /// Records a request and returns whether the chunk has to be fetched; `None` if the cache is full.
+    pub(super) fn record_request(&self, req: &ChunkRequest, now: Time) -> Option<bool> {
+        self.record_version(req, now);
         let mut slots = self.slots.borrow_mut();
         if let Some(slot) = slots.get_mut(&req.digest) {
-            slot.asked_at = now;
+            slot.requested_at = now;
             return Some(false);
         }
         if slots.len() >= MAX_CHUNKS {
             return None;
         }
-        // Older versions have had their time: hosts that still lack chunks of them ask each other.
+        // Idle chunks of older versions are evicted; hosts that still lack them request them from each other.
         let is_current = |slot: &Slot| slot.model != req.model || slot.version >= req.version;
         slots.retain(|_, slot| is_current(slot) || !is_idle(slot, now));
         let slot = Slot {
             model: req.model.clone(),
             version: req.version,
-            asked_at: now,
-            content: Content::Awaited,
+            requested_at: now,
+            content: Content::Pending,
         };
         slots.insert(req.digest, slot);
         Some(true)
     }
 
-    /// Notes that a version is asked for, and which older ones are left for it.
-    fn note_version(&self, req: &ChunkRequest, now: Time) {
+    /// Records the newest requested version and which older versions are abandoned in favour of it.
+    fn record_version(&self, req: &ChunkRequest, now: Time) {
         let mut newest = self.newest.borrow_mut();
         if newest.get(&req.model).is_some_and(|newest| newest.version >= req.version) {
             return;
         }
         let slots = self.slots.borrow();
         let older = slots.values().filter(|slot| slot.model == req.model);
-        let left = older
+        let abandoned = older
             .map(|slot| slot.version)
-            .filter(|one| share_here(&slots, req, *one) < MIN_FRACTION_TO_FINISH);
-        let left = left.collect();
-        newest.insert(req.model.clone(), Newest { version: req.version, since: now, left });
+            .filter(|one| available_fraction(&slots, req, *one) < MIN_FRACTION_TO_FINISH);
+        let abandoned = abandoned.collect();
+        newest.insert(
+            req.model.clone(),
+            Newest { version: req.version, first_requested_at: now, abandoned },
+        );
     }
 
-    /// Whether to try once more for a chunk that could not be had.
+    /// Whether to continue fetching a chunk: it has been requested recently and is not abandoned.
     pub(super) fn is_wanted(&self, digest: Digest, now: Time) -> bool {
         let slots = self.slots.borrow();
-        let is_recent = |slot: &Slot| !now.passed(slot.asked_at, WANTED_FOR);
-        slots.get(&digest).is_some_and(is_recent) && !self.is_left(digest)
+        let is_recent = |slot: &Slot| !now.passed(slot.requested_at, REQUEST_TTL);
+        slots.get(&digest).is_some_and(is_recent) && !self.is_abandoned(digest)
     }
 
-    /// Whether a chunk is left for a newer version. Once that is asked for, a chunk of an older one that has
-    /// hardly begun to come is fetched only if somebody asks again: both versions would share the
-    /// link of the origin.
-    pub(super) fn is_left(&self, digest: Digest) -> bool {
+    /// Whether the download of a chunk is abandoned in favour of a newer version. Once a newer version has been
+    /// requested, the chunks of an older one with few available chunks are fetched only on another request.
+    /// Otherwise both versions would compete for the origin's link.
+    pub(super) fn is_abandoned(&self, digest: Digest) -> bool {
         let slots = self.slots.borrow();
         let newest = self.newest.borrow();
         slots
             .get(&digest)
-            .is_some_and(|slot| newest.get(&slot.model).is_some_and(|newest| newest.leaves(slot)))
+            .is_some_and(|slot| newest.get(&slot.model).is_some_and(|newest| newest.abandons(slot)))
     }
 
-    pub(super) fn set(&self, digest: Digest, content: Content) {
+    pub(super) fn set_content(&self, digest: Digest, content: Content) {
         if let Some(slot) = self.slots.borrow_mut().get_mut(&digest) {
             slot.content = content;
         }
         self.changed.notify_waiters();
     }
 
-    pub(super) fn forget(&self, digest: Digest) {
+    pub(super) fn remove(&self, digest: Digest) {
         self.slots.borrow_mut().remove(&digest);
         self.changed.notify_waiters();
     }
 }
 
 fn is_idle(slot: &Slot, now: Time) -> bool {
-    !matches!(slot.content, Content::Awaited) && now.passed(slot.asked_at, WANTED_FOR)
+    !matches!(slot.content, Content::Pending) && now.passed(slot.requested_at, REQUEST_TTL)
 }
 
-/// Part of the chunks of `version`, among those asked for, that is here.
-fn share_here(slots: &HashMap<Digest, Slot>, req: &ChunkRequest, version: u64) -> f64 {
+/// Fraction of the requested chunks of `version` that are available.
+fn available_fraction(slots: &HashMap<Digest, Slot>, req: &ChunkRequest, version: u64) -> f64 {
     let is_same = |one: &&Slot| one.model == req.model && one.version == version;
     let all = slots.values().filter(is_same).count();
-    let is_here = |one: &&Slot| matches!(one.content, Content::Here(_));
-    let here = slots.values().filter(is_same).filter(is_here).count();
-    here as f64 / all as f64
+    let is_available = |one: &&Slot| matches!(one.content, Content::Available(_));
+    let available = slots.values().filter(is_same).filter(is_available).count();
+    available as f64 / all as f64
 }
--- a/node/src/direct/chunk_server.rs
+++ b/node/src/direct/chunk_server.rs
@@ -1,7 +1,7 @@
-//! Hands out chunks of weights to the agents of an entry's region.
+//! Serves chunks of weights to the agents of an entry's region.
 //!
-//! An agent names the chunk by its digest and says which entry pulls it from the origin. The entry that is
-//! asked takes it once, however many ask, checks it and keeps it.
+//! A request contains the digest of the chunk and the entry that pulls it from the origin. The requested entry
+//! fetches each chunk once regardless of the number of requests, verifies it and caches it.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -20,152 +20,161 @@
 use tokio::time::timeout_at;
 
 use super::chunk_cache::Content;
+use super::endpoint_client::sha256;
 use super::origin;
 use super::origin::OriginError;
 use super::peers;
 use super::peers::PeerReply;
 use super::peers::PeerRequest;
-use super::staging::sha256;
 use super::state::State;
 use super::swarm::version_digest;
 
-/// How long a request waits for a chunk that is on its way.
-const WAIT: Duration = Duration::from_millis(500);
+/// Maximum time for which a request waits for a pending chunk.
+const CHUNK_WAIT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time for the first reply to a request, which may wait that long.
-pub const REPLY_WITHIN: Duration = Duration::from_millis(900);
+/// Timeout of the first reply to a request, longer than the time for which the server may hold the request.
+pub const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time for a chunk from the entry that pulls it, once it has begun to come.
-const PULLER_WITHIN: Duration = Duration::from_secs(2);
+/// Timeout of the transfer of a chunk from another host, after the first reply.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause after a source that did not bring the chunk.
-const FETCH_RETRY: Duration = Duration::from_millis(100);
+/// Delay before a failed fetch is retried.
+const FETCH_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Answers the request for a chunk on `stream`.
+/// Replies to a chunk request on `stream` with the chunk or the reason why there is none.
+///
+/// # Errors
+///
+/// Returns an error if the connection fails.
 pub async fn serve(
     state: &Rc<State>,
     stream: &mut TcpStream,
     req: ChunkRequest,
 ) -> std::io::Result<()> {
-    match find(state, &req).await {
+    match wait_for_chunk(state, &req).await {
         Ok(chunk) => {
             state.metrics.count("chunks_handed_out");
-            peers::send_pieces(stream, &chunk, &state.chunks.out).await
+            peers::send_pieces(stream, &chunk, &state.chunks.upload_slots).await
         }
         Err(reply) => peers::write(stream, &reply).await,
     }
 }
 
-async fn find(state: &Rc<State>, req: &ChunkRequest) -> Result<Bytes, PeerReply> {
-    let until = Instant::now() + WAIT;
-    if !begin(state, req) {
+async fn wait_for_chunk(state: &Rc<State>, req: &ChunkRequest) -> Result<Bytes, PeerReply> {
+    let deadline = Instant::now() + CHUNK_WAIT_TIMEOUT;
+    if !ensure_fetch(state, req) {
         return Err(PeerReply::Busy);
     }
     if req.puller.is_none() {
         for (index, digest) in &req.next {
             let (index, digest) = (*index, *digest);
-            begin(state, &ChunkRequest { index, digest, next: Vec::new(), ..req.clone() });
+            ensure_fetch(state, &ChunkRequest { index, digest, next: Vec::new(), ..req.clone() });
         }
     }
     loop {
         match state.chunks.content(req.digest) {
-            Some(Content::Here(bytes)) => return Ok(bytes),
+            Some(Content::Available(bytes)) => return Ok(bytes),
             Some(Content::Absent) => return Err(PeerReply::Absent),
-            Some(Content::Awaited) | None => {}
+            Some(Content::Pending) | None => {}
         }
-        if timeout_at(until, state.chunks.changed.notified()).await.is_err() {
+        if timeout_at(deadline, state.chunks.changed.notified()).await.is_err() {
             return Err(PeerReply::NotYet);
         }
     }
 }
 
-/// Notes a request and fetches the chunk unless it is here or on its way. False if there is no room for it.
-fn begin(state: &Rc<State>, req: &ChunkRequest) -> bool {
-    let is_new = state.chunks.note_request(req, state.now());
+/// Records a request and starts fetching the chunk unless it is available or pending. Returns false if the
+/// cache is full.
+fn ensure_fetch(state: &Rc<State>, req: &ChunkRequest) -> bool {
+    let is_new = state.chunks.record_request(req, state.now());
     if is_new == Some(true) {
         spawn_local(fetch(state.clone(), req.clone()));
     }
     is_new.is_some()
 }
 
-/// Takes a chunk from its source, as long as somebody asks for it.
+/// Fetches a chunk from its sources, with retries while it is requested.
 async fn fetch(state: Rc<State>, req: ChunkRequest) {
     while state.chunks.is_wanted(req.digest, state.now()) {
         match fetch_once(&state, &req).await {
-            Ok(content) => return state.chunks.set(req.digest, content),
-            Err(NotFetched::Later) => {}
-            Err(NotFetched::Failed) => sleep(FETCH_RETRY).await,
+            Ok(content) => return state.chunks.set_content(req.digest, content),
+            Err(FetchError::Deferred) => {}
+            Err(FetchError::Failed) => sleep(FETCH_RETRY_DELAY).await,
         }
     }
-    state.chunks.forget(req.digest);
+    state.chunks.remove(req.digest);
 }
 
-/// Why a chunk did not come.
-enum NotFetched {
-    /// The puller waits for it, or it is left for a newer version.
-    Later,
+/// Why a chunk was not fetched.
+enum FetchError {
+    /// The puller does not have it yet, or it is abandoned in favour of a newer version.
+    Deferred,
     Failed,
 }
 
-async fn fetch_once(state: &State, req: &ChunkRequest) -> Result<Content, NotFetched> {
+async fn fetch_once(state: &State, req: &ChunkRequest) -> Result<Content, FetchError> {
     if let Some(puller) = req.puller {
         match fetch_from_puller(state, puller, req).await {
-            Ok(bytes) => return check(state, req, bytes),
-            Err(NotFetched::Later) => return Err(NotFetched::Later),
-            // A puller that is lost must not hold the chunk back.
-            Err(NotFetched::Failed) => {}
+            Ok(bytes) => return verify(state, req, bytes),
+            Err(FetchError::Deferred) => return Err(FetchError::Deferred),
+            // If the puller fails, the chunk is fetched from the origin instead.
+            Err(FetchError::Failed) => {}
         }
-    } else if let Some(bytes) = fetch_from_holder(state, req).await {
-        return check(state, req, bytes);
+    } else if let Some(bytes) = fetch_from_host(state, req).await {
+        return verify(state, req, bytes);
     }
     fetch_from_origin(state, req).await
 }
 
-/// The chunk, if it matches its digest.
-fn check(state: &State, req: &ChunkRequest, bytes: Bytes) -> Result<Content, NotFetched> {
+/// Returns the chunk if it matches its digest.
+fn verify(state: &State, req: &ChunkRequest, bytes: Bytes) -> Result<Content, FetchError> {
     if sha256(&bytes) == req.digest {
-        return Ok(Content::Here(bytes));
+        return Ok(Content::Available(bytes));
     }
     state.metrics.count("chunks_corrupt");
-    Err(NotFetched::Failed)
+    Err(FetchError::Failed)
 }
 
 async fn fetch_from_puller(
     state: &State,
     puller: IpAddr,
     req: &ChunkRequest,
-) -> Result<Bytes, NotFetched> {
+) -> Result<Bytes, FetchError> {
     let address = SocketAddr::new(puller, state.cfg.agent_port);
     let hello = Hello::Chunk(ChunkRequest { puller: None, ..req.clone() });
-    let intake = &state.chunks.intake;
-    match peers::take_chunk(address, &hello, REPLY_WITHIN, PULLER_WITHIN, intake).await {
+    let download_slots = &state.chunks.download_slots;
+    match peers::take_chunk(address, &hello, FIRST_REPLY_TIMEOUT, TRANSFER_TIMEOUT, download_slots)
+        .await
+    {
         Ok(Ok(bytes)) => Ok(bytes),
-        Ok(Err(PeerReply::NotYet)) => Err(NotFetched::Later),
-        Ok(Err(_)) => Err(NotFetched::Failed),
+        Ok(Err(PeerReply::NotYet)) => Err(FetchError::Deferred),
+        Ok(Err(_)) => Err(FetchError::Failed),
         Err(e) => {
             slog::info!(state.log, "chunk request failed"; "entry" => address.to_string(),
                 "version" => req.version, "error" => e.as_str());
-            Err(NotFetched::Failed)
+            Err(FetchError::Failed)
         }
     }
 }
 
-/// Takes a chunk from a host whose endpoint has loaded the version: one that has been in use for long need
-/// not leave the origin once more for a zone that has lost power.
-async fn fetch_from_holder(state: &State, req: &ChunkRequest) -> Option<Bytes> {
+/// Fetches a chunk from a host whose endpoint has loaded the version. A version that is already in use then
+/// need not be transferred from the origin again after a zone has lost power.
+async fn fetch_from_host(state: &State, req: &ChunkRequest) -> Option<Bytes> {
     let holders = state.endpoints.borrow().holders(&req.model, req.version, state.now());
     let holder = state.with_rng(|rng| holders.choose(rng).copied())?;
     let address = SocketAddr::new(holder.ip(), state.cfg.agent_port);
     let version = version_digest(&req.model, req.version);
     let request = PeerRequest::Chunk { version, digest: req.digest, park: false };
-    let intake = &state.chunks.intake;
-    let taken = peers::take_chunk(address, &request, REPLY_WITHIN, PULLER_WITHIN, intake).await;
-    match taken {
+    let download_slots = &state.chunks.download_slots;
+    let result =
+        peers::take_chunk(address, &request, FIRST_REPLY_TIMEOUT, TRANSFER_TIMEOUT, download_slots)
+            .await;
+    match result {
         Ok(Ok(bytes)) if sha256(&bytes) == req.digest => {
             state.metrics.count("chunks_from_peers");
             Some(bytes)
         }
-        // It holds another version by now, or is busy; the origin has the chunk.
+        // The host has loaded another version or is busy; the chunk is fetched from the origin.
         Ok(Err(PeerReply::Absent | PeerReply::Busy | PeerReply::NotYet)) => None,
         Ok(_) => {
             state.metrics.count("chunks_corrupt");
@@ -179,31 +188,31 @@
     }
 }
 
-async fn fetch_from_origin(state: &State, req: &ChunkRequest) -> Result<Content, NotFetched> {
+async fn fetch_from_origin(state: &State, req: &ChunkRequest) -> Result<Content, FetchError> {
     let address = state.catalog.borrow().as_ref().and_then(|c| Some(c.origin()?.address));
-    let address = address.ok_or(NotFetched::Failed)?;
-    let _turn = state.chunks.from_origin.acquire().await.map_err(|_| NotFetched::Failed)?;
-    if state.chunks.is_left(req.digest) {
-        return Err(NotFetched::Later);
+    let address = address.ok_or(FetchError::Failed)?;
+    let _permit = state.chunks.origin_slots.acquire().await.map_err(|_| FetchError::Failed)?;
+    if state.chunks.is_abandoned(req.digest) {
+        return Err(FetchError::Deferred);
     }
     let path = origin_paths::chunk_path(&req.model, req.version, req.index as usize);
     match origin::fetch(address, &path).await {
         Ok(bytes) => {
             state.metrics.count("chunks_from_origin");
             state.metrics.add("origin_bytes", bytes.len() as u64);
-            if state.chunks.is_origin_lost.replace(false) {
-                slog::info!(state.log, "origin regained"; "version" => req.version);
+            if state.chunks.is_origin_failing.replace(false) {
+                slog::info!(state.log, "origin recovered"; "version" => req.version);
             }
-            check(state, req, bytes)
+            verify(state, req, bytes)
         }
         Err(e) => {
             state.metrics.count("origin_failures");
-            if !state.chunks.is_origin_lost.replace(true) {
-                slog::warn!(state.log, "origin lost"; "path" => path, "error" => e.as_str());
+            if !state.chunks.is_origin_failing.replace(true) {
+                slog::warn!(state.log, "origin request failed"; "path" => path, "error" => e.as_str());
             }
             match e {
                 OriginError::Refused(_) => Ok(Content::Absent),
-                OriginError::Unreachable | OriginError::Silent => Err(NotFetched::Failed),
+                OriginError::Unreachable | OriginError::Silent => Err(FetchError::Failed),
             }
         }
     }
--- a/node/src/direct/origin.rs
+++ b/node/src/direct/origin.rs
@@ -1,4 +1,4 @@
-//! Calls to the origin of weights.
+//! Client of the origin of weights.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,31 +10,31 @@
 use super::link::Link;
 use super::link::LinkError;
 
-/// Time for a connection; the origin's link is narrow and it takes few of them.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
+/// Timeout of a connection attempt; the origin has low bandwidth and accepts few connections.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for a chunk or a manifest. A stalled origin is better left after a second or two.
-const ANSWER_WITHIN: Duration = Duration::from_millis(2_500);
+/// Timeout of a request for a chunk or a manifest. A stalled origin is best abandoned after a second or two.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Bytes of an answer at most.
-const MAX_ANSWER_LEN: usize = 4 << 20;
+/// Maximum length of a response body in bytes.
+const MAX_RESPONSE_LEN: usize = 4 << 20;
 
-/// Result of a call to the origin.
+/// Result of a request to the origin.
 pub type Result<T> = std::result::Result<T, OriginError>;
 
-/// Why the origin brought nothing.
+/// Why a request to the origin failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OriginError {
-    /// It cannot be reached.
+    /// The connection failed or the request could not be sent.
     Unreachable,
-    /// It did not answer in time, or broke off.
+    /// The response timed out or the connection broke.
     Silent,
-    /// It does not have what was asked for, or refuses it, with this status.
+    /// The origin does not have the object or refused the request, with this status.
     Refused(u16),
 }
 
 impl OriginError {
-    /// Its name in logs.
+    /// Text for log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             OriginError::Unreachable => "unreachable",
@@ -44,17 +44,18 @@
     }
 }
 
-/// Reads what the origin at `address` has under `path`.
+/// Fetches the object under `path` from the origin at `address`.
 pub async fn fetch(address: SocketAddr, path: &str) -> Result<Bytes> {
-    let opened = Link::open(address, CONNECT_WITHIN).await;
-    let mut link = opened.map_err(|_| OriginError::Unreachable)?;
+    let connected = Link::open(address, CONNECT_TIMEOUT).await;
+    let mut link = connected.map_err(|_| OriginError::Unreachable)?;
     let req = link::request("GET", address, path, Bytes::new());
-    let answer = link.call(req, MAX_ANSWER_LEN, ANSWER_WITHIN).await.map_err(|e| match e {
-        LinkError::NotSent => OriginError::Unreachable,
-        LinkError::Broken | LinkError::TimedOut => OriginError::Silent,
-    })?;
-    match answer.status() {
-        StatusCode::OK => Ok(answer.into_body()),
+    let response =
+        link.call(req, MAX_RESPONSE_LEN, RESPONSE_TIMEOUT).await.map_err(|e| match e {
+            LinkError::NotSent => OriginError::Unreachable,
+            LinkError::Broken | LinkError::TimedOut => OriginError::Silent,
+        })?;
+    match response.status() {
+        StatusCode::OK => Ok(response.into_body()),
         status => Err(OriginError::Refused(status.as_u16())),
     }
 }
--- a/node/src/direct/swarm.rs
+++ b/node/src/direct/swarm.rs
@@ -35,10 +35,10 @@
 use self::pulls::Chunks;
 use self::pulls::Pull;
 pub use self::pulls::Target;
+use super::endpoint_client::EndpointClient;
 use super::metrics::Metrics;
 use super::peers::PIECES_IN;
 use super::peers::PIECES_OUT;
-use super::staging::Staging;
 use crate::clock::BootClock;
 
 /// Interval between scheduling steps while chunks are missing and no event triggers one.
@@ -72,7 +72,7 @@
     clock: BootClock,
     log: slog::Logger,
     metrics: Rc<Metrics>,
-    staging: Rc<Staging>,
+    endpoint_client: Rc<EndpointClient>,
     swarm: RefCell<Swarm>,
     addresses: RefCell<HashMap<HostName, SocketAddr>>,
     /// The entries that serve chunks; they listen on `cache_port`.
@@ -95,7 +95,7 @@
         clock: BootClock,
         log: slog::Logger,
         metrics: Rc<Metrics>,
-        staging: Rc<Staging>,
+        endpoint_client: Rc<EndpointClient>,
         cache_port: u16,
     ) -> SwarmDriver {
         let mut swarm = Swarm::new(me, Strategy::Swarm);
@@ -105,7 +105,7 @@
             clock,
             log,
             metrics,
-            staging,
+            endpoint_client,
             swarm: RefCell::new(swarm),
             addresses: RefCell::default(),
             caches: RefCell::default(),
@@ -264,7 +264,8 @@
         };
         let mut have = vec![false; chunks.digests.len()];
         for (index, digest) in chunks.digests.iter().enumerate() {
-            have[index] = self.staging.chunk(&target.model, index, *digest).await.is_ok();
+            have[index] =
+                self.endpoint_client.staged_chunk(&target.model, index, *digest).await.is_ok();
         }
         let corrupt = have.iter().filter(|have| !**have).count();
         if corrupt == 0 {
--- a/node/src/direct/swarm/serving.rs
+++ b/node/src/direct/swarm/serving.rs
@@ -106,7 +106,7 @@
                 if let Some(bytes) = self.with_pull(version, buffered_chunk).flatten() {
                     return Some(bytes);
                 }
-                return self.staging.chunk(&target.model, index, digest).await.ok();
+                return self.endpoint_client.staged_chunk(&target.model, index, digest).await.ok();
             }
             let waited = tokio::time::timeout_at(deadline, self.changed.notified()).await;
             if !park || waited.is_err() {
--- a/node/src/direct/swarm/sources.rs
+++ b/node/src/direct/swarm/sources.rs
@@ -23,6 +23,9 @@
 use super::pulls::Pull;
 use super::pulls::Target;
 use crate::direct::chunk_server;
+use crate::direct::endpoint_client;
+use crate::direct::endpoint_client::EndpointCallError;
+use crate::direct::endpoint_client::sha256;
 use crate::direct::link::LinkError;
 use crate::direct::origin;
 use crate::direct::origin::OriginError;
@@ -30,9 +33,6 @@
 use crate::direct::peers::PeerError;
 use crate::direct::peers::PeerReply;
 use crate::direct::peers::PeerRequest;
-use crate::direct::staging;
-use crate::direct::staging::StagingError;
-use crate::direct::staging::sha256;
 
 /// Time for which staging a received chunk is retried while the endpoint is starting.
 const ENDPOINT_START_TIMEOUT: Duration = Duration::from_secs(3);
@@ -99,7 +99,7 @@
         chunk_len: u32,
         digests: Vec<Digest>,
     ) -> RequestOutcome {
-        let staged = match self.staging.staged(&target.model).await {
+        let staged = match self.endpoint_client.staged_indices(&target.model).await {
             Ok(staged) if self.is_staged(target.digest) => staged,
             Ok(_) => Vec::new(),
             Err(e) => {
@@ -109,7 +109,11 @@
         };
         let mut have = vec![false; digests.len()];
         for index in staged.into_iter().filter(|index| *index < digests.len()) {
-            have[index] = self.staging.chunk(&target.model, index, digests[index]).await.is_ok();
+            have[index] = self
+                .endpoint_client
+                .staged_chunk(&target.model, index, digests[index])
+                .await
+                .is_ok();
         }
         if self.target_of(target.digest).is_none() {
             return RequestOutcome::Deferred;
@@ -154,7 +158,7 @@
             next: self.prefetch_list(request.version, digest),
         });
         let address = SocketAddr::new(route.entry, self.cache_port);
-        let reply_timeout = chunk_server::REPLY_WITHIN;
+        let reply_timeout = chunk_server::FIRST_REPLY_TIMEOUT;
         let (transfer_timeout, download_slots) = (request.timeout, &self.download_slots);
         match peers::take_chunk(address, &hello, reply_timeout, transfer_timeout, download_slots)
             .await
@@ -250,11 +254,12 @@
         target: &Target,
         index: usize,
         bytes: Bytes,
-    ) -> staging::Result<()> {
+    ) -> endpoint_client::Result<()> {
         let started_at = self.clock.now();
         loop {
-            let staged = self.staging.stage(&target.model, index, bytes.clone()).await;
-            let is_down = staged == Err(StagingError::Link(LinkError::NotSent));
+            let staged =
+                self.endpoint_client.stage_chunk(&target.model, index, bytes.clone()).await;
+            let is_down = staged == Err(EndpointCallError::Link(LinkError::NotSent));
             let is_wanted = self.is_staged(target.digest);
             if !is_down || !is_wanted || self.clock.now().passed(started_at, ENDPOINT_START_TIMEOUT)
             {
