--- a/node/tests/direct/agent.rs
+++ b/node/tests/direct/agent.rs
@@ -10,11 +10,11 @@
 use super::fixture::Site;
 use super::fixture::until;
 
-fn name_version(site: &Site, version: u64) {
+fn announce_version(site: &Site, version: u64) {
     site.store.put("versions", "m", json!({"model": "m", "version": version}));
 }
 
-fn fleet(
+fn start_fleet(
     site: &Site,
     test: &str,
     count: usize,
@@ -28,147 +28,150 @@
     (0..count).map(start).collect()
 }
 
-fn all_hold(fleet: &[(ServedEndpoint, Program)], version: u64) -> bool {
+fn all_loaded(fleet: &[(ServedEndpoint, Program)], version: u64) -> bool {
     fleet.iter().all(|(endpoint, _)| endpoint.version() == Some(version))
 }
 
-// A new endpoint holds nothing. Its agent brings the weights from peers and has it load them.
+// A new endpoint has no weights. Its agent downloads them from peers and orders the load.
 #[test]
-fn new_endpoint_gets_weights_from_peers() {
+fn new_endpoint_downloads_from_peers() {
     let site = Site::start();
-    let old = fleet(&site, "peers", 2, Some(1));
+    let existing = start_fleet(&site, "peers", 2, Some(1));
     let entry = site.entry("peers");
-    until("old ones know the digests", || {
-        old.iter().all(|(_, agent)| agent.log().contains("manifest received"))
+    until("existing agents have received the manifest", || {
+        existing.iter().all(|(_, agent)| agent.log().contains("manifest received"))
     });
     let new = site.endpoint("i-new", "writer", None);
     let _agent = site.agent("peers-new", &new);
-    until("the new one answers from version 1", || new.version() == Some(1));
+    until("the new endpoint has loaded version 1", || new.version() == Some(1));
     assert_eq!(new.mixed_loads(), 0);
     assert_eq!(site.origin.chunks_sent(), 0);
-    until("it is sent requests", || {
+    until("the new endpoint receives requests", || {
         let _ = entry.ask("/stream/a", "a", "key-1");
         !new.runs().is_empty()
     });
 }
 
-// A new version is named. Every endpoint must answer from it in time, the origin must send about one
-// copy, and callers must be answered throughout.
+// A new version is announced. All endpoints must load it, the origin must send about one copy of it, and
+// requests must succeed during the rollout.
 #[test]
-fn new_version_reaches_all_while_callers_are_answered() {
+fn rollout_serves_requests_throughout() {
     let site = Site::start();
-    let fleet = fleet(&site, "version", 3, Some(1));
+    let fleet = start_fleet(&site, "version", 3, Some(1));
     let entry = site.entry("version");
-    until("agents report", || entry.dump()["entries"] == 1);
-    name_version(&site, 2);
-    let mut asked = 0;
-    until("all hold version 2", || {
-        asked += 1;
-        let answer = entry.ask("/stream/a", &format!("s{asked}"), "key-1").unwrap();
+    until("agents have reported to the entry", || entry.dump()["entries"] == 1);
+    announce_version(&site, 2);
+    let mut requests = 0;
+    until("all endpoints have loaded version 2", || {
+        requests += 1;
+        let answer = entry.ask("/stream/a", &format!("s{requests}"), "key-1").unwrap();
         assert_eq!(answer.status, 200, "{answer:?}");
-        all_hold(&fleet, 2)
+        all_loaded(&fleet, 2)
     });
     assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
     assert!(site.origin.chunks_sent() <= CHUNKS as u64 * 2, "{}", site.origin.chunks_sent());
 }
 
-// Staged chunks turn bad while they lie there. Loading them would answer callers from wrong weights.
+// Staged chunks become corrupt before the load. If they were loaded, callers would receive responses computed
+// from wrong weights.
 #[test]
-fn rotten_chunks_are_never_loaded() {
+fn load_rejects_corrupt_staged_chunks() {
     let site = Site::start();
-    let fleet = fleet(&site, "rotten", 2, Some(1));
+    let fleet = start_fleet(&site, "rotten", 2, Some(1));
     let _entry = site.entry("rotten");
-    until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
-    name_version(&site, 2);
+    until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("manifest received")));
+    announce_version(&site, 2);
     for _ in 0..60 {
         for (endpoint, _) in &fleet {
             endpoint.rot(3);
         }
         thread::sleep(Duration::from_millis(10));
     }
-    until("all hold version 2", || all_hold(&fleet, 2));
+    until("all endpoints have loaded version 2", || all_loaded(&fleet, 2));
     assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
 }
 
-// The origin is down when a version is named, and sends wrong chunks when it is back.
+// The origin is down when a version is announced, and sends corrupt chunks at first when it is up again.
 #[test]
-fn version_comes_after_an_outage_of_the_origin() {
+fn download_recovers_after_origin_outage() {
     let site = Site::start();
-    let fleet = fleet(&site, "outage", 2, Some(1));
+    let fleet = start_fleet(&site, "outage", 2, Some(1));
     let _entry = site.entry("outage");
-    until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
+    until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("manifest received")));
     site.origin.set_down(true);
-    name_version(&site, 2);
+    announce_version(&site, 2);
     thread::sleep(Duration::from_secs(3));
     site.origin.set_garbled(true);
     site.origin.set_down(false);
     thread::sleep(Duration::from_secs(1));
     site.origin.set_garbled(false);
-    let back = std::time::Instant::now();
-    until("all hold version 2", || all_hold(&fleet, 2));
-    assert!(back.elapsed() < Duration::from_secs(8), "{:?}", back.elapsed());
+    let recovered_at = std::time::Instant::now();
+    until("all endpoints have loaded version 2", || all_loaded(&fleet, 2));
+    assert!(recovered_at.elapsed() < Duration::from_secs(8), "{:?}", recovered_at.elapsed());
     assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
 }
 
-// Version 3 is named right after version 2. No endpoint may load chunks of both.
+// Version 3 is announced shortly after version 2. No endpoint may load chunks of both.
 #[test]
-fn two_versions_in_a_row_never_mix() {
+fn load_never_mixes_consecutive_versions() {
     let site = Site::start();
-    let fleet = fleet(&site, "row", 3, Some(1));
+    let fleet = start_fleet(&site, "row", 3, Some(1));
     let _entry = site.entry("row");
-    until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
-    name_version(&site, 2);
+    until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("manifest received")));
+    announce_version(&site, 2);
     thread::sleep(Duration::from_millis(900));
-    name_version(&site, 3);
-    until("all hold version 3", || all_hold(&fleet, 3));
+    announce_version(&site, 3);
+    until("all endpoints have loaded version 3", || all_loaded(&fleet, 3));
     assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
 }
 
-// All agents are killed in the middle of a download and start again. They find what is staged and go
-// on.
+// All agents are killed during a download and restarted. They find the staged chunks and resume the download.
 #[test]
-fn agents_killed_midway_go_on() {
+fn download_resumes_after_agent_crash() {
     let site = Site::start();
-    let mut fleet = fleet(&site, "killed", 2, Some(1));
+    let mut fleet = start_fleet(&site, "killed", 2, Some(1));
     let _entry = site.entry("killed");
-    until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("digests known")));
-    name_version(&site, 2);
-    until("a chunk has come", || site.origin.chunks_sent() > 0);
+    until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("manifest received")));
+    announce_version(&site, 2);
+    until("the origin has sent a chunk", || site.origin.chunks_sent() > 0);
     for (n, (endpoint, agent)) in fleet.iter_mut().enumerate() {
         agent.signal("KILL");
         agent.wait();
         *agent = site.agent(&format!("killed-again-{n}"), endpoint);
     }
-    until("all hold version 2", || all_hold(&fleet, 2));
+    until("all endpoints have loaded version 2", || all_loaded(&fleet, 2));
     assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
 }
 
-// All agents are restarted at once while the store's links are full. Each of them reading the
-// configuration for itself made that last for seconds, in which no endpoint could be judged. Entries know
-// it already and tell what agents need.
+// All agents restart at once while the store's links are saturated. When each agent read the configuration from
+// the store, the saturation lasted for seconds, during which the state of no endpoint was known. Entries already
+// have the configuration and send agents their part of it.
 #[test]
-fn restarted_agent_learns_its_service_from_an_entry() {
+fn restarted_agent_receives_setup_from_entry() {
     let site = Site::start();
     let endpoint = site.endpoint("i-w", "writer", Some(1));
     let _entry = site.entry("told-entry");
     site.store.set_fault(StoreFault::Silent);
     let agent = site.agent("told-agent", &endpoint);
-    until("the service is known", || agent.log().contains("setup applied"));
+    until("the agent has applied the setup", || agent.log().contains("setup applied"));
     site.store.set_fault(StoreFault::None);
 }
 
-// An endpoint is added while the store is away. Its agent reads its peers there, and it stays empty.
+// An endpoint is added during a store outage. When agents read their peers only from the store, the endpoint did
+// not receive any weights.
 #[test]
-fn new_endpoint_gets_weights_while_the_store_is_away() {
+fn new_endpoint_downloads_during_store_outage() {
     let site = Site::start();
-    let old = fleet(&site, "away", 2, Some(1));
+    let existing = start_fleet(&site, "away", 2, Some(1));
     let entry = site.entry("away");
-    name_version(&site, 2);
-    until("all hold version 2", || all_hold(&old, 2));
+    announce_version(&site, 2);
+    until("all endpoints have loaded version 2", || all_loaded(&existing, 2));
     let new = site.endpoint("i-new", "writer", None);
-    until("it is known", || entry.dump()["endpoints"].as_array().is_some_and(|all| all.len() == 3));
+    until("the entry has received the new endpoint", || {
+        entry.dump()["endpoints"].as_array().is_some_and(|all| all.len() == 3)
+    });
     site.store.set_fault(StoreFault::Silent);
     let _agent = site.agent("away-new", &new);
-    until("it answers from version 2", || new.version() == Some(2));
+    until("the new endpoint has loaded version 2", || new.version() == Some(2));
     site.store.set_fault(StoreFault::None);
 }
--- a/node/tests/direct/chunk_cache.rs
+++ b/node/tests/direct/chunk_cache.rs
@@ -1,4 +1,4 @@
-//! An entry that hands out chunks, against an origin that the test plays.
+//! The chunk server of an entry, with a fake origin.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
 
 const CHUNKS: u32 = 16;
 const CHUNK_LEN: usize = 32 << 10;
-const WITHIN: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 
 fn chunk(n: u32) -> Vec<u8> {
     vec![n as u8; CHUNK_LEN]
@@ -49,52 +49,52 @@
     chunk(CHUNKS + n)
 }
 
-/// How the origin answers.
+/// Behaviour of the fake origin.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Manner {
-    Honest,
-    /// The first answer has a wrong byte.
-    CorruptAtFirst,
-    /// All chunks together take longer than a request is remembered.
+enum OriginBehaviour {
+    Correct,
+    /// The first response has one wrong byte; later ones are correct.
+    CorruptOnce,
+    /// The transfer of all chunks takes longer than `REQUEST_TTL` of the cache.
     Slow,
-    /// It is away.
-    Away,
+    /// Connections are closed without a response.
+    Down,
 }
 
-struct PlayedOrigin {
-    manner: Cell<Manner>,
-    asked: Cell<u32>,
+struct FakeOrigin {
+    behaviour: Cell<OriginBehaviour>,
+    requests: Cell<u32>,
 }
 
-async fn serve_origin(listener: TcpListener, origin: Rc<PlayedOrigin>) {
+async fn serve_origin(listener: TcpListener, origin: Rc<FakeOrigin>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { return };
         let origin = origin.clone();
-        // How the exchange ended shows at the entry.
-        spawn_local(async move { drop(answer(stream, &origin).await) });
+        // The test checks the result at the entry, so errors are ignored.
+        spawn_local(async move { drop(respond(stream, &origin).await) });
     }
 }
 
-async fn answer(mut stream: TcpStream, origin: &PlayedOrigin) -> std::io::Result<()> {
-    if origin.manner.get() == Manner::Away {
+async fn respond(mut stream: TcpStream, origin: &FakeOrigin) -> std::io::Result<()> {
+    if origin.behaviour.get() == OriginBehaviour::Down {
         return Ok(());
     }
     let mut head = [0; 1_024];
     let len = stream.read(&mut head).await?;
     let head = String::from_utf8_lossy(&head[..len]).into_owned();
-    let is_asked = |n: &u32| head.contains(&chunk_path("m", 2, *n as usize));
-    let is_asked_newer = |n: &u32| head.contains(&chunk_path("m", 3, *n as usize));
-    let older = (0..CHUNKS).find(is_asked).map(chunk);
-    let newer = (0..CHUNKS).find(is_asked_newer).map(newer_chunk);
-    let mut body = older.or(newer).expect("a chunk");
-    origin.asked.set(origin.asked.get() + 1);
-    if origin.manner.get() == Manner::CorruptAtFirst {
+    let is_requested = |n: &u32| head.contains(&chunk_path("m", 2, *n as usize));
+    let is_newer_requested = |n: &u32| head.contains(&chunk_path("m", 3, *n as usize));
+    let older = (0..CHUNKS).find(is_requested).map(chunk);
+    let newer = (0..CHUNKS).find(is_newer_requested).map(newer_chunk);
+    let mut body = older.or(newer).expect("a known chunk");
+    origin.requests.set(origin.requests.get() + 1);
+    if origin.behaviour.get() == OriginBehaviour::CorruptOnce {
         body[7] ^= 1;
-        origin.manner.set(Manner::Honest);
+        origin.behaviour.set(OriginBehaviour::Correct);
     }
-    // The link is narrow: asks of many agents come while the chunk is on its way.
-    let takes_ms = if origin.manner.get() == Manner::Slow { 300 } else { 30 };
-    sleep(Duration::from_millis(takes_ms)).await;
+    // The link has low bandwidth, so requests of many agents arrive during the transfer of the chunk.
+    let transfer_ms = if origin.behaviour.get() == OriginBehaviour::Slow { 300 } else { 30 };
+    sleep(Duration::from_millis(transfer_ms)).await;
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
     stream.write_all(head.as_bytes()).await?;
     stream.write_all(&body).await
@@ -111,8 +111,8 @@
     let limits = CallerLimits {
         max_head_len: 1,
         max_body_len: 1,
-        head_timeout: WITHIN,
-        idle_timeout: WITHIN,
+        head_timeout: TIMEOUT,
+        idle_timeout: TIMEOUT,
     };
     Update::Config(Box::new(CatalogParts {
         version: 1,
@@ -123,7 +123,7 @@
     }))
 }
 
-fn ask(n: u32, next: Vec<(u32, Digest)>) -> Hello {
+fn chunk_request(n: u32, next: Vec<(u32, Digest)>) -> Hello {
     let digest = sha256(&chunk(n));
     Hello::Chunk(ChunkRequest {
         model: "m".into(),
@@ -135,146 +135,149 @@
     })
 }
 
-fn ask_newer(n: u32) -> Hello {
-    let Hello::Chunk(older) = ask(n, Vec::new()) else { unreachable!() };
+fn newer_chunk_request(n: u32) -> Hello {
+    let Hello::Chunk(older) = chunk_request(n, Vec::new()) else { unreachable!() };
     Hello::Chunk(ChunkRequest { version: 3, digest: sha256(&newer_chunk(n)), ..older })
 }
 
-async fn take(entry: SocketAddr, hello: &Hello) -> Result<Vec<u8>, PeerReply> {
-    let intake = Semaphore::new(8);
-    let taken = peers::take_chunk(entry, hello, WITHIN, WITHIN, &intake).await;
-    taken.expect("an answer").map(|bytes| bytes.to_vec())
+async fn fetch(entry: SocketAddr, hello: &Hello) -> Result<Vec<u8>, PeerReply> {
+    let download_slots = Semaphore::new(8);
+    let result = peers::take_chunk(entry, hello, TIMEOUT, TIMEOUT, &download_slots).await;
+    result.expect("a reply").map(|bytes| bytes.to_vec())
 }
 
-/// Runs `test` against an entry, whose address it is given, and an origin of this manner.
+/// Runs `test` with the address of an entry, a fake origin of this behaviour and the entry's state.
 fn with_entry<F: Future<Output = ()>>(
-    manner: Manner,
-    test: impl FnOnce(SocketAddr, Rc<PlayedOrigin>, Rc<State>) -> F,
+    behaviour: OriginBehaviour,
+    test: impl FnOnce(SocketAddr, Rc<FakeOrigin>, Rc<State>) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let played = Rc::new(PlayedOrigin { manner: Cell::new(manner), asked: Cell::new(0) });
+        let fake_origin =
+            Rc::new(FakeOrigin { behaviour: Cell::new(behaviour), requests: Cell::new(0) });
         let origin_listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a free port");
         let origin = origin_listener.local_addr().expect("bound");
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a free port");
         let entry = listener.local_addr().expect("bound");
         let state = Rc::new(state_with(entry.port()));
         state.apply(catalog(origin));
-        spawn_local(serve_origin(origin_listener, played.clone()));
+        spawn_local(serve_origin(origin_listener, fake_origin.clone()));
         spawn_local(publisher::serve(state.clone(), listener));
-        test(entry, played, state).await;
+        test(entry, fake_origin, state).await;
     });
 }
 
-// Guards against a version that leaves the origin once for each host.
+// Guards against one transfer from the origin per host.
 #[test]
-fn chunk_is_pulled_once_however_many_ask() {
-    with_entry(Manner::Honest, |entry, origin, _| async move {
-        let asks: Vec<_> = (0..20)
-            .map(|_| spawn_local(async move { take(entry, &ask(3, Vec::new())).await }))
+fn serve_fetches_chunk_once_for_concurrent_requests() {
+    with_entry(OriginBehaviour::Correct, |entry, origin, _| async move {
+        let tasks: Vec<_> = (0..20)
+            .map(|_| spawn_local(async move { fetch(entry, &chunk_request(3, Vec::new())).await }))
             .collect();
-        for one in asks {
-            assert_eq!(one.await.expect("no panic"), Ok(chunk(3)));
+        for task in tasks {
+            assert_eq!(task.await.expect("no panic"), Ok(chunk(3)));
         }
-        assert_eq!(origin.asked.get(), 1);
+        assert_eq!(origin.requests.get(), 1);
     });
 }
 
-// Guards against wrong bytes that one entry hands to all hosts of a region.
+// Guards against an entry that serves a corrupt chunk to all hosts of its region.
 #[test]
-fn chunk_that_does_not_match_is_pulled_again() {
-    with_entry(Manner::CorruptAtFirst, |entry, origin, _| async move {
-        assert_eq!(take(entry, &ask(5, Vec::new())).await, Ok(chunk(5)));
-        assert_eq!(origin.asked.get(), 2);
+fn serve_fetches_corrupt_chunk_again() {
+    with_entry(OriginBehaviour::CorruptOnce, |entry, origin, _| async move {
+        assert_eq!(fetch(entry, &chunk_request(5, Vec::new())).await, Ok(chunk(5)));
+        assert_eq!(origin.requests.get(), 2);
     });
 }
 
-// Guards against chunks that nobody has pulled yet when the origin goes away.
+// Guards against chunks that have not been fetched by any host at the start of an origin outage.
 #[test]
-fn next_chunks_are_pulled_before_anybody_asks() {
-    with_entry(Manner::Honest, |entry, origin, state| async move {
+fn serve_prefetches_next_chunks() {
+    with_entry(OriginBehaviour::Correct, |entry, origin, state| async move {
         let next = (1..8).map(|n| (n, sha256(&chunk(n)))).collect();
-        assert_eq!(take(entry, &ask(0, next)).await, Ok(chunk(0)));
+        assert_eq!(fetch(entry, &chunk_request(0, next)).await, Ok(chunk(0)));
         sleep(Duration::from_millis(500)).await;
-        assert_eq!((origin.asked.get(), state.chunks.len()), (8, 8));
-        origin.manner.set(Manner::Away);
-        assert_eq!(take(entry, &ask(6, Vec::new())).await, Ok(chunk(6)));
+        assert_eq!((origin.requests.get(), state.chunks.len()), (8, 8));
+        origin.behaviour.set(OriginBehaviour::Down);
+        assert_eq!(fetch(entry, &chunk_request(6, Vec::new())).await, Ok(chunk(6)));
     });
 }
 
-// Guards against a version that waits behind the rest of the one before it, which nobody wants any more.
+// Guards against a version whose chunks queue behind the remaining ones of its predecessor, which are no longer
+// needed.
 #[test]
-fn chunks_of_an_older_version_are_left_once_a_newer_one_is_asked_for() {
-    with_entry(Manner::Honest, |entry, origin, _| async move {
+fn serve_abandons_older_version_on_request_for_newer() {
+    with_entry(OriginBehaviour::Correct, |entry, origin, _| async move {
         let next = (1..CHUNKS).map(|n| (n, sha256(&chunk(n)))).collect();
-        assert_eq!(take(entry, &ask(0, next)).await, Ok(chunk(0)));
-        assert_eq!(take(entry, &ask_newer(0)).await, Ok(newer_chunk(0)));
+        assert_eq!(fetch(entry, &chunk_request(0, next)).await, Ok(chunk(0)));
+        assert_eq!(fetch(entry, &newer_chunk_request(0)).await, Ok(newer_chunk(0)));
         sleep(Duration::from_millis(600)).await;
-        assert!(origin.asked.get() <= 6, "{} of both versions", origin.asked.get());
-        // A host that goes on with the older version asks again.
-        assert_eq!(take(entry, &ask(15, Vec::new())).await, Ok(chunk(15)));
+        assert!(origin.requests.get() <= 6, "{} requests for both versions", origin.requests.get());
+        // A host that still downloads the older version requests the chunk again.
+        assert_eq!(fetch(entry, &chunk_request(15, Vec::new())).await, Ok(chunk(15)));
     });
 }
 
-// Guards against an older version that lacks a few chunks for good, as the origin goes away before the newer
-// one is here.
+// Guards against an older version that remains incomplete because the origin becomes unavailable before the
+// newer version has been downloaded.
 #[test]
-fn chunks_of_an_older_version_that_is_near_are_pulled_to_the_end() {
-    with_entry(Manner::Honest, |entry, _, state| async move {
+fn serve_completes_older_version_if_mostly_available() {
+    with_entry(OriginBehaviour::Correct, |entry, _, state| async move {
         let next = (1..CHUNKS).map(|n| (n, sha256(&chunk(n)))).collect();
-        assert_eq!(take(entry, &ask(0, next)).await, Ok(chunk(0)));
+        assert_eq!(fetch(entry, &chunk_request(0, next)).await, Ok(chunk(0)));
         while state.chunks.len() < CHUNKS as usize / 2 {
             sleep(Duration::from_millis(5)).await;
         }
-        assert_eq!(take(entry, &ask_newer(0)).await, Ok(newer_chunk(0)));
+        assert_eq!(fetch(entry, &newer_chunk_request(0)).await, Ok(newer_chunk(0)));
         sleep(Duration::from_millis(600)).await;
         assert_eq!(state.chunks.len(), CHUNKS as usize + 1);
     });
 }
 
-// Guards against a version that lacks its last chunks when the origin goes away: the puller forgot them while
-// they waited for their turn.
+// Guards against a version that lacks its last chunks in an origin outage: the puller dropped their requests
+// while they were queued for the origin.
 #[test]
-fn next_chunks_are_pulled_however_long_it_takes() {
-    with_entry(Manner::Slow, |entry, _, state| async move {
+fn serve_prefetches_queued_chunks_beyond_request_ttl() {
+    with_entry(OriginBehaviour::Slow, |entry, _, state| async move {
         let next = (1..CHUNKS).map(|n| (n, sha256(&chunk(n)))).collect();
-        assert_eq!(take(entry, &ask(0, next)).await, Ok(chunk(0)));
+        assert_eq!(fetch(entry, &chunk_request(0, next)).await, Ok(chunk(0)));
         sleep(Duration::from_millis(3_500)).await;
         assert_eq!(state.chunks.len(), CHUNKS as usize);
     });
 }
 
-// Guards against hosts that take an entry for lost that waits for the origin.
+// Guards against hosts that consider an entry failed while it waits for the origin.
 #[test]
-fn chunk_of_an_origin_that_is_away_is_answered_as_not_yet_here() {
-    with_entry(Manner::Away, |entry, origin, _| async move {
-        assert_eq!(take(entry, &ask(1, Vec::new())).await, Err(PeerReply::NotYet));
-        origin.manner.set(Manner::Honest);
-        assert_eq!(take(entry, &ask(1, Vec::new())).await, Ok(chunk(1)));
+fn serve_replies_not_yet_during_origin_outage() {
+    with_entry(OriginBehaviour::Down, |entry, origin, _| async move {
+        assert_eq!(fetch(entry, &chunk_request(1, Vec::new())).await, Err(PeerReply::NotYet));
+        origin.behaviour.set(OriginBehaviour::Correct);
+        assert_eq!(fetch(entry, &chunk_request(1, Vec::new())).await, Ok(chunk(1)));
     });
 }
 
-// Guards against a chunk that is held back by a puller that is lost.
+// Guards against a chunk that is delayed by the failure of its puller.
 #[test]
-fn chunk_comes_from_the_origin_when_its_puller_is_lost() {
-    with_entry(Manner::Honest, |entry, _, _| async move {
-        let Hello::Chunk(ask) = ask(2, Vec::new()) else { unreachable!() };
-        let lost = Some([127, 0, 0, 99].into());
+fn serve_falls_back_to_origin_on_puller_failure() {
+    with_entry(OriginBehaviour::Correct, |entry, _, _| async move {
+        let Hello::Chunk(request) = chunk_request(2, Vec::new()) else { unreachable!() };
+        let failed_puller = Some([127, 0, 0, 99].into());
         assert_eq!(
-            take(entry, &Hello::Chunk(ChunkRequest { puller: lost, ..ask })).await,
+            fetch(entry, &Hello::Chunk(ChunkRequest { puller: failed_puller, ..request })).await,
             Ok(chunk(2))
         );
     });
 }
 
-/// Plays the agent of an endpoint that has loaded the version.
-async fn serve_holder(listener: TcpListener) {
-    let turn = Semaphore::new(8);
+/// Serves chunks like the agent of an endpoint that has loaded the version.
+async fn serve_loaded_host(listener: TcpListener) {
+    let upload_slots = Semaphore::new(8);
     loop {
         let Ok((mut stream, _)) = listener.accept().await else { return };
         let Ok(PeerRequest::Chunk { digest, .. }) = peers::read(&mut stream).await else { return };
-        let held = (0..CHUNKS).map(chunk).find(|held| sha256(held) == digest);
-        let _ = peers::send_pieces(&mut stream, &held.expect("a chunk"), &turn).await;
+        let chunk_data = (0..CHUNKS).map(chunk).find(|chunk_data| sha256(chunk_data) == digest);
+        let _ = peers::send_pieces(&mut stream, &chunk_data.expect("a known chunk"), &upload_slots)
+            .await;
     }
 }
 
@@ -294,18 +297,18 @@
     }
 }
 
-// Guards against a version in use that leaves the origin once more for a zone that has lost power.
+// Guards against another transfer of a loaded version from the origin after a zone has lost power.
 #[test]
-fn chunk_of_a_version_in_use_comes_from_a_host_that_holds_it() {
-    with_entry(Manner::Honest, |entry, origin, state| async move {
-        let holder = SocketAddr::from(([127, 0, 0, 7], entry.port()));
-        spawn_local(serve_holder(TcpListener::bind(holder).await.expect("a free port")));
-        let engine = SocketAddr::new(holder.ip(), 9);
+fn serve_fetches_chunk_of_loaded_version_from_host() {
+    with_entry(OriginBehaviour::Correct, |entry, origin, state| async move {
+        let host = SocketAddr::from(([127, 0, 0, 7], entry.port()));
+        spawn_local(serve_loaded_host(TcpListener::bind(host).await.expect("a free port")));
+        let engine = SocketAddr::new(host.ip(), 9);
         let now = state.now();
         let listed = EndpointRecord { address: engine, is_engine: true, ..listed("i-1") };
         state.apply(Update::EndpointPut(Box::new(listed)));
         state.endpoints.borrow_mut().apply_report(engine, &report(), now, Duration::ZERO, 0.5, now);
-        assert_eq!(take(entry, &ask(4, Vec::new())).await, Ok(chunk(4)));
-        assert_eq!(origin.asked.get(), 0);
+        assert_eq!(fetch(entry, &chunk_request(4, Vec::new())).await, Ok(chunk(4)));
+        assert_eq!(origin.requests.get(), 0);
     });
 }
