--- a/node/src/direct/agent.rs
+++ b/node/src/direct/agent.rs
@@ -53,7 +53,7 @@
 struct Agent {
     cfg: DirectSettings,
     clock: BootClock,
-    started: Time,
+    started_at: Time,
     log: slog::Logger,
     metrics: Rc<Metrics>,
     endpoint_client: Rc<EndpointClient>,
@@ -89,7 +89,7 @@
     let mut stop = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
     let peer_address = SocketAddr::new(cfg.ip, cfg.agent_port);
-    let peers_listener = TcpListener::bind(peer_address).await?;
+    let peer_listener = TcpListener::bind(peer_address).await?;
     let report_socket = Rc::new(UdpSocket::bind(peer_address).await?);
     let metrics_listener = TcpListener::bind((cfg.ip, cfg.metrics_port)).await?;
     let clock = BootClock::start();
@@ -104,7 +104,7 @@
     let agent = Rc::new(Agent {
         cfg,
         clock,
-        started: clock.now(),
+        started_at: clock.now(),
         log: log.root.clone(),
         metrics,
         endpoint_client,
@@ -128,7 +128,7 @@
     spawn_local(agent.clone().follow_updates());
     spawn_local(agent.clone().schedule_loads());
     spawn_local(agent.swarm.clone().run());
-    spawn_local(agent.swarm.clone().serve(peers_listener));
+    spawn_local(agent.swarm.clone().serve(peer_listener));
     spawn_local(serve_status(agent.clone(), metrics_listener));
     loop {
         tokio::select! {
--- a/node/src/direct/agent/loading.rs
+++ b/node/src/direct/agent/loading.rs
@@ -78,22 +78,22 @@
         if self.held_version().is_some() && self.may_interrupt_streams() {
             self.drain().await;
         }
-        let ordered = self.verify_and_order_load(target).await;
-        if ordered {
+        let is_ordered = self.verify_and_order_load(target).await;
+        if is_ordered {
             self.swarm.drop_older_version().await;
             self.wait_until_loaded(target.version).await;
         }
         self.is_load_in_progress.set(false);
         self.report_now.notify_one();
-        if !ordered {
+        if !is_ordered {
             sleep(ORDER_RETRY_DELAY).await;
         }
     }
 
     /// Waits until running requests complete or [`DRAIN_TIMEOUT`] expires. Entries send no new requests.
     async fn drain(&self) {
-        let began = self.clock.now();
-        while !self.clock.now().passed(began, DRAIN_TIMEOUT) {
+        let started_at = self.clock.now();
+        while !self.clock.now().passed(started_at, DRAIN_TIMEOUT) {
             sleep(LOAD_POLL_INTERVAL).await;
             let report = self.report.borrow();
             if report.as_ref().is_some_and(|r| r.load.running + r.load.waiting == 0) {
@@ -126,18 +126,18 @@
 
     /// Waits until the endpoint reports the version, or reports that it is not executing the order.
     async fn wait_until_loaded(&self, version: u64) {
-        let began = self.clock.now();
-        while !self.clock.now().passed(began, LOAD_TIMEOUT) {
+        let started_at = self.clock.now();
+        while !self.clock.now().passed(started_at, LOAD_TIMEOUT) {
             sleep(LOAD_POLL_INTERVAL).await;
             let is_busy = self.report.borrow().as_ref().is_some_and(|report| report.is_busy);
             if self.held_version() == Some(version) {
-                let load_time = self.clock.now().since(began);
+                let load_time = self.clock.now().since(started_at);
                 self.load_time.set(load_time);
                 slog::info!(self.log, "weights loaded"; "version" => version,
                     "took_ms" => load_time.as_millis() as u64);
                 return;
             }
-            let has_report_arrived = self.clock.now().passed(began, REPORT_INTERVAL * 3);
+            let has_report_arrived = self.clock.now().passed(started_at, REPORT_INTERVAL * 3);
             if has_report_arrived && !is_busy {
                 slog::warn!(self.log, "load order not executed"; "version" => version);
                 return;
--- a/node/src/direct/agent/reports.rs
+++ b/node/src/direct/agent/reports.rs
@@ -81,7 +81,7 @@
             let mut load = report.load.clone();
             load.is_accepting &= !self.is_load_in_progress.get();
             let now = self.clock.now();
-            let count = self.subscribers.borrow().count(self.started, now);
+            let count = self.subscribers.borrow().count(self.started_at, now);
             load.entries = count.entries;
             load.is_count_complete = count.is_complete;
             load.readers = self.subscribers.borrow().readers(now) as u32;
--- a/node/src/direct/agent/setup.rs
+++ b/node/src/direct/agent/setup.rs
@@ -79,7 +79,7 @@
         while self.setup.borrow().is_none() {
             let _ = timeout(SETUP_POLL_INTERVAL, self.updated.notified()).await;
             let is_missing = self.setup.borrow().is_none();
-            if is_missing && self.clock.now().passed(self.started, fallback_delay) {
+            if is_missing && self.clock.now().passed(self.started_at, fallback_delay) {
                 self.fetch_setup_from_store(client).await;
             }
         }
@@ -102,13 +102,13 @@
 
     /// Applies a setup unless the current one is from the same or a newer configuration.
     pub(super) fn apply_setup(&self, update: SetupUpdate) {
-        let known = self.setup.borrow().clone();
-        if known.as_ref().is_some_and(|known| known.version >= update.version) {
+        let current = self.setup.borrow().clone();
+        if current.as_ref().is_some_and(|current| current.version >= update.version) {
             return;
         }
         // Newly started entries send a setup that is already applied. If that counted as a change, each agent
         // would fetch its peers again for each of these entries.
-        let is_changed = known.is_none_or(|known| known.setup != update.setup);
+        let is_changed = current.is_none_or(|current| current.setup != update.setup);
         let origin = update.setup.origin.as_ref().map(|origin| origin.address);
         let (model, version) = (update.setup.model.name.clone(), update.version);
         *self.setup.borrow_mut() = Some(update);
@@ -177,9 +177,9 @@
             Err(e) => return self.record_store_failure(Kind::Endpoints, e.as_str()),
         };
         let layers = self.model().map(|model| model.layers);
-        let mine = self.cfg.service.clone();
+        let own = self.cfg.service.clone();
         let layers_of =
-            |service: &ServiceName| if mine.as_ref() == Some(service) { layers } else { None };
+            |service: &ServiceName| if own.as_ref() == Some(service) { layers } else { None };
         let listed =
             objects.iter().filter_map(|object| endpoints::scan_endpoint(object, layers_of));
         let peer =
@@ -191,17 +191,17 @@
         let regions = self.cfg.regions();
         let region_of = |zone: &ZoneName| regions.get(zone).cloned().unwrap_or_default();
         let location_of = |peer: PeerEndpoint| {
-            let at = SocketAddr::new(peer.address.ip(), self.cfg.agent_port);
+            let address = SocketAddr::new(peer.address.ip(), self.cfg.agent_port);
             let region = region_of(&peer.zone);
             let location =
                 PeerLocation { host: host_name_of(peer.address), zone: peer.zone, region };
-            (location, at)
+            (location, address)
         };
         let mut locations: Vec<(PeerLocation, SocketAddr)> =
             peers.into_iter().map(location_of).collect();
         if !locations.iter().any(|(location, _)| location.host == self.location.host) {
-            let at = SocketAddr::new(self.endpoint_client.address().ip(), self.cfg.agent_port);
-            locations.push((self.location.clone(), at));
+            let address = SocketAddr::new(self.endpoint_client.address().ip(), self.cfg.agent_port);
+            locations.push((self.location.clone(), address));
         }
         // The order is by hash so that hosts of one zone do not load in direct succession.
         locations.sort_by_key(|(location, _)| Digest::of(location.host.as_str().as_bytes()));
@@ -230,7 +230,7 @@
         if self.model().is_none_or(|own| own.name != *model) {
             return;
         }
-        if self.newest.get().is_some_and(|(known, _)| known >= version) {
+        if self.newest.get().is_some_and(|(current, _)| current >= version) {
             return;
         }
         slog::info!(self.log, "weights named"; "model" => model.as_str(), "version" => version);
--- a/node/src/direct/chunk_cache.rs
+++ b/node/src/direct/chunk_cache.rs
@@ -54,7 +54,7 @@
 
 /// The newest requested version of a model.
 #[derive(Clone, Debug)]
-struct Newest {
+struct NewestVersion {
     version: u64,
     /// Time of the first request for the version.
     first_requested_at: Time,
@@ -62,7 +62,7 @@
     abandoned: HashSet<u64>,
 }
 
-impl Newest {
+impl NewestVersion {
     /// Whether a chunk belongs to an abandoned version and has not been requested since.
     fn abandons(&self, slot: &Slot) -> bool {
         self.abandoned.contains(&slot.version) && self.first_requested_at >= slot.requested_at
@@ -73,7 +73,7 @@
 #[derive(Debug)]
 pub struct ChunkCache {
     slots: RefCell<HashMap<Digest, Slot>>,
-    newest: RefCell<HashMap<SmolStr, Newest>>,
+    newest: RefCell<HashMap<SmolStr, NewestVersion>>,
     pub(super) changed: Notify,
     pub(super) upload_slots: Semaphore,
     pub(super) download_slots: Semaphore,
@@ -146,11 +146,11 @@
         let older = slots.values().filter(|slot| slot.model == req.model);
         let abandoned = older
             .map(|slot| slot.version)
-            .filter(|one| available_fraction(&slots, req, *one) < MIN_FRACTION_TO_FINISH);
+            .filter(|version| available_fraction(&slots, req, *version) < MIN_FRACTION_TO_FINISH);
         let abandoned = abandoned.collect();
         newest.insert(
             req.model.clone(),
-            Newest { version: req.version, first_requested_at: now, abandoned },
+            NewestVersion { version: req.version, first_requested_at: now, abandoned },
         );
     }
 
@@ -191,9 +191,9 @@
 
 /// Fraction of the requested chunks of `version` that are available.
 fn available_fraction(slots: &HashMap<Digest, Slot>, req: &ChunkRequest, version: u64) -> f64 {
-    let is_same = |one: &&Slot| one.model == req.model && one.version == version;
+    let is_same = |slot: &&Slot| slot.model == req.model && slot.version == version;
     let all = slots.values().filter(is_same).count();
-    let is_available = |one: &&Slot| matches!(one.content, Content::Available(_));
+    let is_available = |slot: &&Slot| matches!(slot.content, Content::Available(_));
     let available = slots.values().filter(is_same).filter(is_available).count();
     available as f64 / all as f64
 }
--- a/node/src/direct/swarm.rs
+++ b/node/src/direct/swarm.rs
@@ -151,9 +151,9 @@
         self.origin.set(origin);
     }
 
-    /// Sets the version to download. The download of the previous version continues only if it is newer than
-    /// `held`, the version that the endpoint has loaded, and at least `MIN_FRACTION_TO_FINISH` of its chunks
-    /// are available from peers.
+    /// Sets the version to download. The download of the version that is being staged continues only if it is
+    /// newer than `held`, the version that the endpoint has loaded, and at least `MIN_FRACTION_TO_FINISH` of its
+    /// chunks are available from peers.
     pub fn set_wanted_version(&self, model: &SmolStr, version: u64, held: Option<u64>) {
         let digest = version_digest(model, version);
         let target = Target { model: model.clone(), version, digest };
--- a/node/src/direct/swarm/serving.rs
+++ b/node/src/direct/swarm/serving.rs
@@ -95,7 +95,8 @@
         }
     }
 
-    /// The chunk if it is staged or buffered. With `park`, waits up to [`LONG_POLL_TIMEOUT`] for it.
+    /// The chunk if it is staged or buffered, possibly after a wait of up to [`LONG_POLL_TIMEOUT`]. Without
+    /// `park`, the wait ends at the first change of the swarm's state.
     async fn wait_for_chunk(&self, version: Digest, digest: Digest, park: bool) -> Option<Bytes> {
         let deadline = Instant::now() + LONG_POLL_TIMEOUT;
         loop {
