--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -34,8 +34,8 @@
 use mastichaven_core::share::EntryShares;
 use mastichaven_core::swarm::PeerLocation;
 use mastichaven_core::swarm::Strategy;
-use mastichaven_core::wire::Ask;
-use mastichaven_core::wire::AskBody;
+use mastichaven_core::wire::RequestBody;
+use mastichaven_core::wire::RequestMessage;
 use mastichaven_core::wire::Sender;
 use serde_json::Value;
 use serde_json::json;
@@ -149,13 +149,13 @@
         }
     }
 
-    fn ask(&self, body: AskBody) -> Ask {
+    fn ask(&self, body: RequestBody) -> RequestMessage {
         let from = Sender {
             host: self.settings.place.host.clone(),
             incarnation: self.incarnation,
             generation: self.documents.in_force().generation,
         };
-        Ask { from, body }
+        RequestMessage { from, body }
     }
 
     /// The model that a plan wants on this host, with the plan and its revision. A host that stands
@@ -323,15 +323,15 @@
     incarnation: Incarnation,
 ) -> Weights {
     let place = &settings.place;
-    let me = PeerLocation {
+    let location = PeerLocation {
         host: place.host.clone(),
         zone: place.zone.clone(),
         region: place.region.clone(),
     };
     let from = Sender { host: place.host.clone(), incarnation, generation: Default::default() };
     Weights::start(Setup {
-        me,
-        way: Strategy::Swarm,
+        location,
+        strategy: Strategy::Swarm,
         origin_region: settings.origin_region.clone(),
         transport: transport.clone(),
         store: store.clone(),
@@ -358,7 +358,7 @@
         Shared::member(self)
     }
 
-    fn ask(&self, body: AskBody) -> Ask {
+    fn ask(&self, body: RequestBody) -> RequestMessage {
         Shared::ask(self, body)
     }
 
@@ -424,7 +424,7 @@
                 "asks": progress.counts.requests,
                 "corrupt": progress.counts.corrupt,
                 "failed": progress.counts.failed,
-                "troubled_neighbours": progress.troubled,
+                "troubled_neighbours": progress.degraded_neighbours,
                 "last_error": progress.last_error.map(|code| code.number()),
             },
             "counts": self.telemetry.counts(),
@@ -433,7 +433,7 @@
     }
 
     fn weights(&self, manifest: Digest) -> Option<WholeBody> {
-        let whole = self.store.read(manifest)?;
+        let whole = self.store.reader(manifest)?;
         Some(WholeBody { len: whole.len(), reader: Box::new(whole) })
     }
 
--- a/node/src/agent/engine_watch.rs
+++ b/node/src/agent/engine_watch.rs
@@ -14,8 +14,8 @@
 use mastichaven_core::ids::HostName;
 use mastichaven_core::ids::ModelName;
 use mastichaven_core::ids::StartId;
-use mastichaven_core::members::MembersAsk;
 use mastichaven_core::members::MembersReply;
+use mastichaven_core::members::MembersRequest;
 use mastichaven_core::members::Serving;
 use mastichaven_core::orders::Backoff;
 use mastichaven_core::orders::Fence;
@@ -24,8 +24,8 @@
 use mastichaven_core::orders::Wanted;
 use mastichaven_core::orders::may_release;
 use mastichaven_core::plan::Plan;
-use mastichaven_core::wire::AskBody;
 use mastichaven_core::wire::ReplyBody;
+use mastichaven_core::wire::RequestBody;
 use slog::info;
 use slog::warn;
 
@@ -133,7 +133,7 @@
             return;
         };
         let (version, fence, ordered) = drained.order();
-        let reads_before = shared.store.whole_reads(version);
+        let reads_before = shared.store.complete_reads(version);
         let result = self.send_load(model, version, fence);
         let reported = self.reported();
         let confirmed = ordered.confirm(reported);
@@ -163,7 +163,7 @@
     /// engine may answer before the thread that sends them has noticed that it sent the last byte.
     fn was_read_whole(&self, version: Digest, before: u64) -> bool {
         let begun = Instant::now();
-        while self.shared.store.whole_reads(version) == before {
+        while self.shared.store.complete_reads(version) == before {
             if begun.elapsed() > READ_GRACE || self.shared.is_over() {
                 return false;
             }
@@ -229,7 +229,7 @@
             let Some(address) = shared.address_of(host) else {
                 return false;
             };
-            let ask = shared.ask(AskBody::Members(MembersAsk::Probe));
+            let ask = shared.ask(RequestBody::Members(MembersRequest::Probe));
             let reply = shared.transport.ask_one(address, &ask, PROBE_TIMEOUT);
             matches!(
                 reply.map(|reply| reply.body),
--- a/node/src/agent/pull.rs
+++ b/node/src/agent/pull.rs
@@ -13,19 +13,19 @@
 use mastichaven_core::ids::ModelName;
 use mastichaven_core::ids::ZoneName;
 use mastichaven_core::members::Member;
-use mastichaven_core::members::MembersAsk;
+use mastichaven_core::members::MembersRequest;
 use mastichaven_core::members::Serving;
 use mastichaven_core::placement::takeover_version;
 use mastichaven_core::plan::Plan;
 use mastichaven_core::platform::HostRole;
 use mastichaven_core::platform::ListedHost;
 use mastichaven_core::swarm::PeerLocation;
-use mastichaven_core::wire::AskBody;
+use mastichaven_core::wire::RequestBody;
 
 use super::Shared;
 use super::TICK;
 use crate::weights::PeerAddress;
-use crate::weights::Wanted;
+use crate::weights::WantedVersions;
 
 /// How long a fresh agent waits until it knows at least half of the plan's hosts. Members come to
 /// be known one after the other: an agent that starts with few of them would hold itself
@@ -94,17 +94,17 @@
     let mut versions: Vec<Digest> = plan.versions().collect();
     versions.extend(loaded(shared).filter(|version| !versions.contains(version)));
     let origin_copies = shared.documents.in_force().config.limits.origin_copies;
-    shared.weights.want(Wanted { versions, origin_copies });
-    shared.weights.set_beside_requests(shared.running.load(Ordering::Acquire) > 0);
+    shared.weights.set_wanted(WantedVersions { versions, origin_copies });
+    shared.weights.set_link_shared(shared.running.load(Ordering::Acquire) > 0);
 }
 
 fn peer_of(listed: &ListedHost) -> PeerAddress {
-    let place = PeerLocation {
+    let location = PeerLocation {
         host: listed.name.clone(),
         zone: listed.zone.clone(),
         region: listed.region.clone(),
     };
-    PeerAddress { place, address: listed.address }
+    PeerAddress { location, address: listed.address }
 }
 
 /// The place of a member; a pull does not need more of it.
@@ -205,7 +205,7 @@
     let replicas = plan.replicas.iter().map(|replica| &replica.host);
     let rivals = plan.candidates.iter().filter(|host| in_my_zone(host)).take(PROBING_CANDIDATES);
     let hosts = replicas.filter(|host| in_my_zone(host)).chain(rivals);
-    let ask = shared.ask(AskBody::Members(MembersAsk::Probe));
+    let ask = shared.ask(RequestBody::Members(MembersRequest::Probe));
     let calls: Vec<_> = hosts
         .filter(|host| **host != shared.settings.place.host)
         .filter_map(|host| Some((host, shared.transport.call(shared.address_of(host)?, &ask))))
--- a/node/src/direct/agent/reports.rs
+++ b/node/src/direct/agent/reports.rs
@@ -12,8 +12,8 @@
 use tokio::time::timeout;
 
 use super::Agent;
-use crate::direct::load_reports::FAR_EVERY;
-use crate::direct::load_reports::NamedVersion;
+use crate::direct::load_reports::AnnouncedVersion;
+use crate::direct::load_reports::FAR_ROUND_INTERVAL;
 use crate::direct::load_reports::ReportMessage;
 use crate::direct::load_reports::ReportRequest;
 use crate::direct::load_reports::receive;
@@ -41,7 +41,7 @@
                 is_far: req.is_far,
                 entries: req.entries,
                 oldest_weights: oldest.map_or(0, |weights| weights.oldest),
-                is_in_origin_region: req.is_beside_origin,
+                is_in_origin_region: req.is_in_origin_region,
                 wants_reports: req.wants_reports,
                 offer: req.offer,
             };
@@ -95,7 +95,7 @@
             round += 1;
             if unchanged % UNCHANGED_REPORT_PERIOD == 0 || has_availability_changed {
                 let setup_id = setup.as_ref().map_or(0, ModelSetup::fingerprint);
-                let to_all_regions = has_availability_changed || round % FAR_EVERY == 0;
+                let to_all_regions = has_availability_changed || round % FAR_ROUND_INTERVAL == 0;
                 self.send_report(&socket, load.clone(), setup_id, to_all_regions);
             }
             last = Some(load);
@@ -113,17 +113,17 @@
     }
 
     /// Versions announced so recently that entries may still use older ones or have only just stopped doing so.
-    fn recent_announcements(&self, now: Time) -> Vec<NamedVersion> {
+    fn recent_announcements(&self, now: Time) -> Vec<AnnouncedVersion> {
         let Some(model) = self.model().map(|model| model.name) else {
             return Vec::new();
         };
-        let max_age = Duration::from_millis(self.cfg.bounds.weights_ms) * 2;
+        let limit = Duration::from_millis(self.cfg.bounds.weights_ms) * 2;
         let versions = self.versions.borrow();
-        let named = versions.ages(now).filter_map(|(version, age)| Some((version, age?)));
-        let recent = named.filter(|(_, age)| *age < max_age).map(|(version, age)| NamedVersion {
+        let aged = versions.ages(now).filter_map(|(version, age)| Some((version, age?)));
+        let recent = aged.filter(|(_, age)| *age < limit).map(|(version, age)| AnnouncedVersion {
             model: model.clone(),
             version,
-            known_for_ms: age.as_millis() as u32,
+            seen_for_ms: age.as_millis() as u32,
         });
         recent.collect()
     }
@@ -139,8 +139,8 @@
         let port = self.endpoint_client.address().port();
         let (relay, root) = (report.relay, report.root);
         let report = Some(report).filter(|_| setup != 0);
-        let named = self.recent_announcements(now);
-        let mut msg = ReportMessage { port, report, asked_us: 0, held_us: 0, setup, named };
+        let announced = self.recent_announcements(now);
+        let mut msg = ReportMessage { port, report, asked_us: 0, held_us: 0, setup, announced };
         for (address, subscriber) in self.subscribers.borrow().receivers(to_all_regions, now) {
             // Entries of other regions have their own relay and receive the root from agents there.
             if let Some(report) = &mut msg.report {
--- a/node/src/direct/agent/setup.rs
+++ b/node/src/direct/agent/setup.rs
@@ -160,7 +160,7 @@
         entries.shuffle(&mut rand::rng());
         for ip in entries.into_iter().take(MAX_PEER_LIST_ATTEMPTS) {
             let address = SocketAddr::new(ip, self.cfg.agent_port);
-            match peers::ask(address, &hello, PEER_LIST_TIMEOUT).await {
+            match peers::request(address, &hello, PEER_LIST_TIMEOUT).await {
                 Ok(list) => return Some(list),
                 Err(e) => {
                     slog::info!(self.log, "peer list request failed"; "entry" => address.to_string(),
@@ -219,9 +219,9 @@
             Ok((objects, _)) => objects,
             Err(e) => return self.record_store_failure(Kind::Weights, e.as_str()),
         };
-        let named = objects.iter().filter_map(weights::scan_newest);
+        let records = objects.iter().filter_map(weights::scan_newest);
         let version =
-            named.filter(|newest| newest.model == model).map(|newest| newest.version).max();
+            records.filter(|newest| newest.model == model).map(|newest| newest.version).max();
         self.record_announcement(&model, version.unwrap_or(INITIAL_VERSION));
     }
 
@@ -233,7 +233,7 @@
         if self.newest.get().is_some_and(|(current, _)| current >= version) {
             return;
         }
-        slog::info!(self.log, "weights named"; "model" => model.as_str(), "version" => version);
+        slog::info!(self.log, "weights announced"; "model" => model.as_str(), "version" => version);
         let now = self.clock.now();
         self.newest.set(Some((version, now)));
         self.versions.borrow_mut().record_announcement(version, now);
--- a/node/src/direct/chunk_server.rs
+++ b/node/src/direct/chunk_server.rs
@@ -142,10 +142,8 @@
 ) -> Result<Bytes, FetchError> {
     let address = SocketAddr::new(puller, state.cfg.agent_port);
     let hello = Hello::Chunk(ChunkRequest { puller: None, ..req.clone() });
-    let download_slots = &state.chunks.download_slots;
-    match peers::take_chunk(address, &hello, FIRST_REPLY_TIMEOUT, TRANSFER_TIMEOUT, download_slots)
-        .await
-    {
+    let slots = &state.chunks.download_slots;
+    match peers::fetch_chunk(address, &hello, FIRST_REPLY_TIMEOUT, TRANSFER_TIMEOUT, slots).await {
         Ok(Ok(bytes)) => Ok(bytes),
         Ok(Err(PeerReply::NotYet)) => Err(FetchError::Deferred),
         Ok(Err(_)) => Err(FetchError::Failed),
@@ -164,11 +162,10 @@
     let holder = state.with_rng(|rng| holders.choose(rng).copied())?;
     let address = SocketAddr::new(holder.ip(), state.cfg.agent_port);
     let version = version_digest(&req.model, req.version);
-    let request = PeerRequest::Chunk { version, digest: req.digest, park: false };
-    let download_slots = &state.chunks.download_slots;
+    let request = PeerRequest::Chunk { version, digest: req.digest, may_wait: false };
+    let slots = &state.chunks.download_slots;
     let result =
-        peers::take_chunk(address, &request, FIRST_REPLY_TIMEOUT, TRANSFER_TIMEOUT, download_slots)
-            .await;
+        peers::fetch_chunk(address, &request, FIRST_REPLY_TIMEOUT, TRANSFER_TIMEOUT, slots).await;
     match result {
         Ok(Ok(bytes)) if sha256(&bytes) == req.digest => {
             state.metrics.count("chunks_from_peers");
@@ -212,7 +209,7 @@
             }
             match e {
                 OriginError::Refused(_) => Ok(Content::Absent),
-                OriginError::Unreachable | OriginError::Silent => Err(FetchError::Failed),
+                OriginError::Unreachable | OriginError::NoReply => Err(FetchError::Failed),
             }
         }
     }
--- a/node/src/direct/endpoint_client.rs
+++ b/node/src/direct/endpoint_client.rs
@@ -14,9 +14,9 @@
 use sha2::Digest as _;
 use sha2::Sha256;
 
-use super::link;
-use super::link::Link;
-use super::link::LinkError;
+use super::connection;
+use super::connection::ConnectionError;
+use super::connection::HttpConnection;
 
 /// Maximum length of a response body in bytes: a chunk, with room for chunks larger than the current ones.
 const MAX_RESPONSE_LEN: usize = 4 << 20;
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EndpointCallError {
     /// The connection failed, broke or timed out.
-    Link(LinkError),
+    Link(ConnectionError),
     /// The requested object does not exist, or a staged chunk does not match its digest.
     Absent,
     /// The response had this status.
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 pub struct EndpointClient {
     address: SocketAddr,
-    idle: RefCell<Vec<Link>>,
+    idle: RefCell<Vec<HttpConnection>>,
 }
 
 impl EndpointClient {
@@ -79,18 +79,18 @@
     }
 
     async fn call(&self, method: &str, path: &str, body: Bytes) -> Result<Response<Bytes>> {
-        let idle = self.idle.borrow_mut().pop().filter(Link::is_ready);
-        let mut link = match idle {
-            Some(link) => link,
-            None => {
-                Link::open(self.address, CALL_TIMEOUT).await.map_err(EndpointCallError::Link)?
-            }
+        let idle = self.idle.borrow_mut().pop().filter(HttpConnection::is_ready);
+        let mut conn = match idle {
+            Some(conn) => conn,
+            None => HttpConnection::open(self.address, CALL_TIMEOUT)
+                .await
+                .map_err(EndpointCallError::Link)?,
         };
-        let req = link::request(method, self.address, path, body);
-        let response = link.call(req, MAX_RESPONSE_LEN, CALL_TIMEOUT).await;
+        let req = connection::build_request(method, self.address, path, body);
+        let response = conn.call(req, MAX_RESPONSE_LEN, CALL_TIMEOUT).await;
         let response = response.map_err(EndpointCallError::Link)?;
-        if link.ready().await && self.idle.borrow().len() < MAX_IDLE_CONNECTIONS {
-            self.idle.borrow_mut().push(link);
+        if conn.ready().await && self.idle.borrow().len() < MAX_IDLE_CONNECTIONS {
+            self.idle.borrow_mut().push(conn);
         }
         Ok(response)
     }
--- a/node/src/direct/origin.rs
+++ b/node/src/direct/origin.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use http::StatusCode;
 
-use super::link;
-use super::link::Link;
-use super::link::LinkError;
+use super::connection;
+use super::connection::ConnectionError;
+use super::connection::HttpConnection;
 
 /// Timeout of a connection attempt; the origin has low bandwidth and accepts few connections.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -28,7 +28,7 @@
     /// The connection failed or the request could not be sent.
     Unreachable,
     /// The response timed out or the connection broke.
-    Silent,
+    NoReply,
     /// The origin does not have the object or refused the request, with this status.
     Refused(u16),
 }
@@ -38,7 +38,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             OriginError::Unreachable => "unreachable",
-            OriginError::Silent => "silent",
+            OriginError::NoReply => "silent",
             OriginError::Refused(_) => "refused",
         }
     }
@@ -46,13 +46,13 @@
 
 /// Fetches the object under `path` from the origin at `address`.
 pub async fn fetch(address: SocketAddr, path: &str) -> Result<Bytes> {
-    let connected = Link::open(address, CONNECT_TIMEOUT).await;
-    let mut link = connected.map_err(|_| OriginError::Unreachable)?;
-    let req = link::request("GET", address, path, Bytes::new());
+    let connected = HttpConnection::open(address, CONNECT_TIMEOUT).await;
+    let mut conn = connected.map_err(|_| OriginError::Unreachable)?;
+    let req = connection::build_request("GET", address, path, Bytes::new());
     let response =
-        link.call(req, MAX_RESPONSE_LEN, RESPONSE_TIMEOUT).await.map_err(|e| match e {
-            LinkError::NotSent => OriginError::Unreachable,
-            LinkError::Broken | LinkError::TimedOut => OriginError::Silent,
+        conn.call(req, MAX_RESPONSE_LEN, RESPONSE_TIMEOUT).await.map_err(|e| match e {
+            ConnectionError::NotSent => OriginError::Unreachable,
+            ConnectionError::Broken | ConnectionError::TimedOut => OriginError::NoReply,
         })?;
     match response.status() {
         StatusCode::OK => Ok(response.into_body()),
--- a/node/src/direct/swarm.rs
+++ b/node/src/direct/swarm.rs
@@ -37,8 +37,8 @@
 pub use self::pulls::Target;
 use super::endpoint_client::EndpointClient;
 use super::metrics::Metrics;
-use super::peers::PIECES_IN;
-use super::peers::PIECES_OUT;
+use super::peers::MAX_INCOMING_PIECES;
+use super::peers::MAX_OUTGOING_PIECES;
 use crate::clock::BootClock;
 
 /// Interval between scheduling steps while chunks are missing and no event triggers one.
@@ -113,8 +113,8 @@
             origin: Cell::new(None),
             pulls: RefCell::default(),
             uploads: Cell::new(0),
-            upload_slots: Semaphore::new(PIECES_OUT),
-            download_slots: Semaphore::new(PIECES_IN),
+            upload_slots: Semaphore::new(MAX_OUTGOING_PIECES),
+            download_slots: Semaphore::new(MAX_INCOMING_PIECES),
             changed: Notify::new(),
             rng: RefCell::new(SmallRng::from_rng(&mut rand::rng())),
         }
--- a/node/src/direct/swarm/serving.rs
+++ b/node/src/direct/swarm/serving.rs
@@ -18,7 +18,7 @@
 use super::SwarmDriver;
 use super::pulls::Chunks;
 use super::pulls::Pull;
-use crate::direct::link;
+use crate::direct::connection;
 use crate::direct::peers;
 use crate::direct::peers::PeerReply;
 use crate::direct::peers::PeerRequest;
@@ -49,14 +49,14 @@
     }
 
     async fn serve_peer(&self, mut stream: TcpStream) -> std::io::Result<()> {
-        link::prepare(&stream)?;
+        connection::set_socket_options(&stream)?;
         let req: PeerRequest = peers::read(&mut stream).await?;
         let reply = match req {
             PeerRequest::Have { version } => self.availability_reply(version),
             PeerRequest::Manifest { version } => self.manifest_reply(version).await,
             PeerRequest::Chunk { .. } if self.uploads.get() >= BUSY_QUEUE => PeerReply::Busy,
-            PeerRequest::Chunk { version, digest, park } => {
-                match self.wait_for_chunk(version, digest, park).await {
+            PeerRequest::Chunk { version, digest, may_wait } => {
+                match self.wait_for_chunk(version, digest, may_wait).await {
                     Some(chunk) => return self.send_chunk(&mut stream, &chunk).await,
                     None => PeerReply::Absent,
                 }
@@ -96,8 +96,13 @@
     }
 
     /// The chunk if it is staged or buffered, possibly after a wait of up to [`LONG_POLL_TIMEOUT`]. Without
-    /// `park`, the wait ends at the first change of the swarm's state.
-    async fn wait_for_chunk(&self, version: Digest, digest: Digest, park: bool) -> Option<Bytes> {
+    /// `may_wait`, the wait ends at the first change of the swarm's state.
+    async fn wait_for_chunk(
+        &self,
+        version: Digest,
+        digest: Digest,
+        may_wait: bool,
+    ) -> Option<Bytes> {
         let deadline = Instant::now() + LONG_POLL_TIMEOUT;
         loop {
             if let Some((target, index)) = self.locate_chunk(version, digest)
@@ -110,7 +115,7 @@
                 return self.endpoint_client.staged_chunk(&target.model, index, digest).await.ok();
             }
             let waited = tokio::time::timeout_at(deadline, self.changed.notified()).await;
-            if !park || waited.is_err() {
+            if !may_wait || waited.is_err() {
                 return None;
             }
         }
--- a/node/src/direct/swarm/sources.rs
+++ b/node/src/direct/swarm/sources.rs
@@ -23,10 +23,10 @@
 use super::pulls::Pull;
 use super::pulls::Target;
 use crate::direct::chunk_server;
+use crate::direct::connection::ConnectionError;
 use crate::direct::endpoint_client;
 use crate::direct::endpoint_client::EndpointCallError;
 use crate::direct::endpoint_client::sha256;
-use crate::direct::link::LinkError;
 use crate::direct::origin;
 use crate::direct::origin::OriginError;
 use crate::direct::peers;
@@ -70,7 +70,7 @@
                 Ok(bytes)
             }
             Err(OriginError::Unreachable) => Err(RequestOutcome::Unreachable),
-            Err(OriginError::Silent) => Err(RequestOutcome::TimedOut),
+            Err(OriginError::NoReply) => Err(RequestOutcome::TimedOut),
             Err(OriginError::Refused(status)) => {
                 slog::info!(self.log, "origin refused request"; "path" => path, "status" => status);
                 Err(RequestOutcome::Absent)
@@ -160,7 +160,7 @@
         let address = SocketAddr::new(route.entry, self.cache_port);
         let reply_timeout = chunk_server::FIRST_REPLY_TIMEOUT;
         let (transfer_timeout, download_slots) = (request.timeout, &self.download_slots);
-        match peers::take_chunk(address, &hello, reply_timeout, transfer_timeout, download_slots)
+        match peers::fetch_chunk(address, &hello, reply_timeout, transfer_timeout, download_slots)
             .await
         {
             Ok(Ok(bytes)) => {
@@ -259,7 +259,7 @@
         loop {
             let staged =
                 self.endpoint_client.stage_chunk(&target.model, index, bytes.clone()).await;
-            let is_down = staged == Err(EndpointCallError::Link(LinkError::NotSent));
+            let is_down = staged == Err(EndpointCallError::Link(ConnectionError::NotSent));
             let is_wanted = self.is_staged(target.digest);
             if !is_down || !is_wanted || self.clock.now().passed(started_at, ENDPOINT_START_TIMEOUT)
             {
@@ -282,7 +282,7 @@
                 return self.fetch_chunk_from_peer(address, request, digest, long_poll).await;
             }
         };
-        match (peers::ask(address, &req, request.timeout).await, request.kind) {
+        match (peers::request(address, &req, request.timeout).await, request.kind) {
             (Ok(PeerReply::Have { map, queue }), RequestKind::Have) => {
                 let now = self.clock.now();
                 self.swarm.borrow_mut().record_availability(id, version, map, queue, now);
@@ -303,14 +303,14 @@
         address: SocketAddr,
         request: &Request,
         digest: Digest,
-        park: bool,
+        may_wait: bool,
     ) -> RequestOutcome {
         let Some((target, index)) = self.locate_chunk(request.version, digest) else {
             return RequestOutcome::Deferred;
         };
-        let req = PeerRequest::Chunk { version: request.version, digest, park };
+        let req = PeerRequest::Chunk { version: request.version, digest, may_wait };
         let timeout = request.timeout;
-        match peers::take_chunk(address, &req, timeout, timeout, &self.download_slots).await {
+        match peers::fetch_chunk(address, &req, timeout, timeout, &self.download_slots).await {
             Ok(Ok(bytes)) => {
                 self.metrics.count("chunks_from_peers");
                 self.store_chunk(&target, index, digest, bytes).await
@@ -331,6 +331,6 @@
             RequestOutcome::Corrupt
         }
         Err(PeerError::Unreachable) => RequestOutcome::Unreachable,
-        Err(PeerError::Silent) => RequestOutcome::TimedOut,
+        Err(PeerError::NoReply) => RequestOutcome::TimedOut,
     }
 }
--- a/node/tests/direct/agent.rs
+++ b/node/tests/direct/agent.rs
@@ -21,8 +21,8 @@
     version: Option<u64>,
 ) -> Vec<(ServedEndpoint, Program)> {
     let start = |n| {
-        let endpoint = site.endpoint(&format!("i-{n}"), "writer", version);
-        let agent = site.agent(&format!("{test}-{n}"), &endpoint);
+        let endpoint = site.start_endpoint(&format!("i-{n}"), "writer", version);
+        let agent = site.start_agent(&format!("{test}-{n}"), &endpoint);
         (endpoint, agent)
     };
     (0..count).map(start).collect()
@@ -37,17 +37,17 @@
 fn new_endpoint_downloads_from_peers() {
     let site = Site::start();
     let existing = start_fleet(&site, "peers", 2, Some(1));
-    let entry = site.entry("peers");
+    let entry = site.start_entry("peers");
     until("existing agents have received the manifest", || {
         existing.iter().all(|(_, agent)| agent.log().contains("manifest received"))
     });
-    let new = site.endpoint("i-new", "writer", None);
-    let _agent = site.agent("peers-new", &new);
+    let new = site.start_endpoint("i-new", "writer", None);
+    let _agent = site.start_agent("peers-new", &new);
     until("the new endpoint has loaded version 1", || new.version() == Some(1));
     assert_eq!(new.mixed_loads(), 0);
     assert_eq!(site.origin.chunks_sent(), 0);
     until("the new endpoint receives requests", || {
-        let _ = entry.ask("/stream/a", "a", "key-1");
+        let _ = entry.send_request("/stream/a", "a", "key-1");
         !new.runs().is_empty()
     });
 }
@@ -58,13 +58,13 @@
 fn rollout_serves_requests_throughout() {
     let site = Site::start();
     let fleet = start_fleet(&site, "version", 3, Some(1));
-    let entry = site.entry("version");
+    let entry = site.start_entry("version");
     until("agents have reported to the entry", || entry.dump()["entries"] == 1);
     announce_version(&site, 2);
     let mut requests = 0;
     until("all endpoints have loaded version 2", || {
         requests += 1;
-        let answer = entry.ask("/stream/a", &format!("s{requests}"), "key-1").unwrap();
+        let answer = entry.send_request("/stream/a", &format!("s{requests}"), "key-1").unwrap();
         assert_eq!(answer.status, 200, "{answer:?}");
         all_loaded(&fleet, 2)
     });
@@ -78,7 +78,7 @@
 fn load_rejects_corrupt_staged_chunks() {
     let site = Site::start();
     let fleet = start_fleet(&site, "rotten", 2, Some(1));
-    let _entry = site.entry("rotten");
+    let _entry = site.start_entry("rotten");
     until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("manifest received")));
     announce_version(&site, 2);
     for _ in 0..60 {
@@ -96,7 +96,7 @@
 fn download_recovers_after_origin_outage() {
     let site = Site::start();
     let fleet = start_fleet(&site, "outage", 2, Some(1));
-    let _entry = site.entry("outage");
+    let _entry = site.start_entry("outage");
     until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("manifest received")));
     site.origin.set_down(true);
     announce_version(&site, 2);
@@ -116,7 +116,7 @@
 fn load_never_mixes_consecutive_versions() {
     let site = Site::start();
     let fleet = start_fleet(&site, "row", 3, Some(1));
-    let _entry = site.entry("row");
+    let _entry = site.start_entry("row");
     until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("manifest received")));
     announce_version(&site, 2);
     thread::sleep(Duration::from_millis(900));
@@ -130,14 +130,14 @@
 fn download_resumes_after_agent_crash() {
     let site = Site::start();
     let mut fleet = start_fleet(&site, "killed", 2, Some(1));
-    let _entry = site.entry("killed");
+    let _entry = site.start_entry("killed");
     until("manifest received", || fleet.iter().all(|(_, a)| a.log().contains("manifest received")));
     announce_version(&site, 2);
     until("the origin has sent a chunk", || site.origin.chunks_sent() > 0);
     for (n, (endpoint, agent)) in fleet.iter_mut().enumerate() {
         agent.signal("KILL");
         agent.wait();
-        *agent = site.agent(&format!("killed-again-{n}"), endpoint);
+        *agent = site.start_agent(&format!("killed-again-{n}"), endpoint);
     }
     until("all endpoints have loaded version 2", || all_loaded(&fleet, 2));
     assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
@@ -149,10 +149,10 @@
 #[test]
 fn restarted_agent_receives_setup_from_entry() {
     let site = Site::start();
-    let endpoint = site.endpoint("i-w", "writer", Some(1));
-    let _entry = site.entry("told-entry");
+    let endpoint = site.start_endpoint("i-w", "writer", Some(1));
+    let _entry = site.start_entry("told-entry");
     site.store.set_fault(StoreFault::Silent);
-    let agent = site.agent("told-agent", &endpoint);
+    let agent = site.start_agent("told-agent", &endpoint);
     until("the agent has applied the setup", || agent.log().contains("setup applied"));
     site.store.set_fault(StoreFault::None);
 }
@@ -163,15 +163,15 @@
 fn new_endpoint_downloads_during_store_outage() {
     let site = Site::start();
     let existing = start_fleet(&site, "away", 2, Some(1));
-    let entry = site.entry("away");
+    let entry = site.start_entry("away");
     announce_version(&site, 2);
     until("all endpoints have loaded version 2", || all_loaded(&existing, 2));
-    let new = site.endpoint("i-new", "writer", None);
+    let new = site.start_endpoint("i-new", "writer", None);
     until("the entry has received the new endpoint", || {
         entry.dump()["endpoints"].as_array().is_some_and(|all| all.len() == 3)
     });
     site.store.set_fault(StoreFault::Silent);
-    let _agent = site.agent("away-new", &new);
+    let _agent = site.start_agent("away-new", &new);
     until("the new endpoint has loaded version 2", || new.version() == Some(2));
     site.store.set_fault(StoreFault::None);
 }
