--- a/bench/src/faults/world.rs
+++ b/bench/src/faults/world.rs
@@ -17,7 +17,7 @@
 use mastichaven_core::ids::Digest;
 use mastichaven_core::ids::Generation;
 use mastichaven_core::ids::HostName;
-use mastichaven_node::accepted;
+use mastichaven_node::accepted_config;
 use mastichaven_node::http_store::HttpStore;
 use mastichaven_node::publish;
 use mastichaven_node::publish::PublishError;
@@ -234,7 +234,7 @@
         let operator = Process::Operator(0);
         let accepted = || {
             self.recorder.invoke(operator.clone(), Op::ReadAccepted);
-            let (_, head) = accepted::read_head(&store).ok()??;
+            let (_, head) = accepted_config::read_head(&store).ok()??;
             Some(head.generation)
         };
         let mut wanted = None;
@@ -364,7 +364,7 @@
             recorder.ret(process, Return::Accepted { content, generation });
             Some(generation)
         }
-        Err(PublishError::Clash(_)) => {
+        Err(PublishError::Conflict(_)) => {
             recorder.ret(process, Return::Refused(content));
             None
         }
--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -11,7 +11,7 @@
 use mastichaven_core::admission::Permit;
 use mastichaven_core::admission::RequestEnd;
 use mastichaven_core::ids::Digest;
-use mastichaven_node::accepted;
+use mastichaven_node::accepted_config;
 use mastichaven_node::documents::Documents;
 use mastichaven_node::http_store::HttpStore;
 use mastichaven_standins::EngineProfile;
@@ -237,7 +237,7 @@
 fn publish_customers(fleet: &Fleet) -> Result<()> {
     let store = HttpStore::new(fleet.platform.base());
     let documents = Documents::default();
-    accepted::take_in(&store, &documents).map_err(|e| format!("{e:?}"))?;
+    accepted_config::apply_latest(&store, &documents).map_err(|e| format!("{e:?}"))?;
     let mut config = Config::clone(&documents.in_force().config);
     let large = config.customer.get_mut(&"coop".into()).ok_or("no customer")?;
     large.requests_per_second = 1e6;
--- a/bench/src/spread.rs
+++ b/bench/src/spread.rs
@@ -22,15 +22,15 @@
 use mastichaven_node::clock::Clock;
 use mastichaven_node::control;
 use mastichaven_node::control::Control;
-use mastichaven_node::control::Controlled;
+use mastichaven_node::control::ControlNode;
 use mastichaven_node::documents::Documents;
 use mastichaven_node::http_store::HttpStore;
 use mastichaven_node::platform_watch;
 use mastichaven_node::process::new_incarnation;
 use mastichaven_node::publish;
 use mastichaven_node::publish::Base;
+use mastichaven_node::publish::FileContents;
 use mastichaven_node::publish::Options;
-use mastichaven_node::publish::Texts;
 use mastichaven_node::telemetry::Telemetry;
 use mastichaven_node::tls::DevelopmentCa;
 use mastichaven_node::tls::Role;
@@ -66,7 +66,7 @@
     over: AtomicBool,
 }
 
-impl Controlled for Process {
+impl ControlNode for Process {
     fn member(&self) -> Member {
         Member {
             host: self.host.as_str().into(),
@@ -83,7 +83,7 @@
         }
     }
 
-    fn ask(&self, body: RequestBody) -> RequestMessage {
+    fn make_request(&self, body: RequestBody) -> RequestMessage {
         let (host, incarnation) = (self.host.as_str().into(), self.incarnation);
         RequestMessage {
             from: Sender { host, incarnation, generation: self.documents.generation() },
@@ -159,7 +159,7 @@
         let asked = process.clone();
         thread::spawn(move || {
             for incoming in rx {
-                asked.control.take(incoming);
+                asked.control.handle(incoming);
             }
         });
         control::start(&process);
@@ -170,8 +170,8 @@
     Ok(all)
 }
 
-fn texts(change: usize) -> Texts {
-    let mut texts = Texts::new();
+fn texts(change: usize) -> FileContents {
+    let mut texts = FileContents::new();
     for file in 0..FILES {
         let weight = if file == change % FILES { 2 + change } else { 1 };
         let key = format!("{:064x}", file + 1);
--- a/node/src/accepted.rs
+++ b/node/src/accepted_config.rs
@@ -1,4 +1,5 @@
-//! The accepted configuration as objects on the platform: reading it, for relays and `ctl`.
+//! Reads the accepted configuration from the platform, for relays, `mastichaven-ctl` and processes
+//! without peers.
 
 use bytes::Bytes;
 use mastichaven_core::Code;
@@ -18,13 +19,14 @@
 
 use crate::documents::Documents;
 
-/// Result of reading.
+/// Result of reading the accepted configuration.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// Rounds of fetching before giving up until the next change or tick.
-const MAX_ROUNDS: u32 = 3;
+/// Maximum number of times that one call of [`apply_latest`] applies the delta; the next change or
+/// listing tries again.
+const MAX_APPLY_ATTEMPTS: u32 = 3;
 
-/// Reads the head, if there is one.
+/// Reads the head and its revision; `None` if nothing has been accepted or the head was deleted.
 pub fn read_head(store: &dyn ObjectStore) -> Result<Option<(Revision, Head)>> {
     let object = store.get(HEAD_KEY).map_err(PlatformError::code)?;
     object.map(|object| decode_head(&object)).transpose()
@@ -34,35 +36,36 @@
     wire::decode(&object.value).map(|head| (object.revision, head))
 }
 
-/// Reads the whole list that a head names.
+/// Reads the file list that `head` refers to. Fails with [`Code::WatchGap`] if the list was
+/// deleted; the head must then be read again.
 pub fn read_list(store: &dyn ObjectStore, head: &Head) -> Result<FileList> {
     let mut encoded = Vec::new();
     for key in &head.list {
         let object = store.get(key).map_err(PlatformError::code)?;
-        // A publisher that is ahead may have deleted the list: the head must be read again.
+        // A later publisher may have deleted the list.
         encoded.extend_from_slice(&object.ok_or(Code::WatchGap)?.value);
     }
     wire::decode(&encoded)
 }
 
-/// Reads one part and checks it.
+/// Reads one part and verifies its digest. Fails with [`Code::WatchGap`] if the part was deleted.
 pub fn read_part(store: &dyn ObjectStore, part: &MissingPart) -> Result<Bytes> {
     let object = store.get(&part.key).map_err(PlatformError::code)?.ok_or(Code::WatchGap)?;
     if Digest::of(&object.value) == part.digest { Ok(object.value) } else { Err(Code::BadMessage) }
 }
 
-/// Puts what the platform accepted in force here, if it is newer. Gives whether it was.
-pub fn take_in(store: &dyn ObjectStore, documents: &Documents) -> Result<bool> {
+/// Puts the accepted configuration in force if it is newer. Returns whether it was.
+pub fn apply_latest(store: &dyn ObjectStore, documents: &Documents) -> Result<bool> {
     let Some((_, head)) = read_head(store)? else {
         return Ok(false);
     };
     let mut delta = head.delta.clone();
     let mut parts = Vec::new();
-    for _ in 0..MAX_ROUNDS {
-        match documents.offer_config(&delta, &parts) {
+    for _ in 0..MAX_APPLY_ATTEMPTS {
+        match documents.apply_config(&delta, &parts) {
             ApplyOutcome::Stale => return Ok(false),
             ApplyOutcome::Applied(_) => return Ok(true),
-            ApplyOutcome::Gap => delta = whole_list(store, &head)?,
+            ApplyOutcome::Gap => delta = whole_list_delta(store, &head)?,
             ApplyOutcome::MissingParts(missing) => {
                 for part in &missing {
                     parts.push(read_part(store, part)?);
@@ -73,6 +76,6 @@
     Err(Code::WatchGap)
 }
 
-fn whole_list(store: &dyn ObjectStore, head: &Head) -> Result<Delta> {
+fn whole_list_delta(store: &dyn ObjectStore, head: &Head) -> Result<Delta> {
     read_list(store, head).map(|list| list.delta_since(Generation(0)))
 }
--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -45,7 +45,7 @@
 use crate::clock::Clock;
 use crate::control;
 use crate::control::Control;
-use crate::control::Controlled;
+use crate::control::ControlNode;
 use crate::documents::Documents;
 use crate::engine::Engine;
 use crate::http_store::HttpStore;
@@ -353,12 +353,12 @@
     spawn(name, move || run(&shared))
 }
 
-impl Controlled for Shared {
+impl ControlNode for Shared {
     fn member(&self) -> Member {
         Shared::member(self)
     }
 
-    fn ask(&self, body: RequestBody) -> RequestMessage {
+    fn make_request(&self, body: RequestBody) -> RequestMessage {
         Shared::ask(self, body)
     }
 
@@ -386,7 +386,7 @@
         Shared::is_over(self)
     }
 
-    fn host_leaves(&self, leaves: bool) {
+    fn set_host_leaving(&self, leaves: bool) {
         if self.host_leaves.swap(leaves, Ordering::AcqRel) != leaves {
             info!(self.telemetry.log, "host listed as leaving"; "leaves" => leaves);
         }
--- a/node/src/agent/asks.rs
+++ b/node/src/agent/asks.rs
@@ -28,7 +28,7 @@
 fn answer(shared: &Arc<Shared>, incoming: Incoming) {
     match incoming.request.body {
         RequestBody::Weights(_) => return shared.weights.serve(incoming),
-        RequestBody::Members(_) | RequestBody::Spread(_) => return shared.control.take(incoming),
+        RequestBody::Members(_) | RequestBody::Spread(_) => return shared.control.handle(incoming),
         RequestBody::Run(_)
         | RequestBody::Void(_)
         | RequestBody::Relay(_)
--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -1,14 +1,15 @@
-//! The control duty of every process: membership, and configuration and plans from peers.
+//! The control thread of a process: membership, and distribution of configuration and plans.
 //!
-//! One thread drives [`Membership`] and takes in and passes on what spreads. It runs a small
-//! runtime of its own only to wait for many answers at once; the rings to it are bounded, and a
-//! full one refuses the ask as busy. What blocks, the calls to the platform, is the thread of
-//! `platform_watch.rs`.
+//! The thread drives [`Membership`], applies updates from peers and forwards them. It runs a
+//! single-threaded runtime in order to wait for many replies at once. Its event queue is bounded;
+//! while it is full, requests are refused as busy. Calls to the platform block, so they run on a
+//! separate thread, in `platform_watch.rs`.
 //!
-//! News goes down the tree of the zone ([`ring::tree_order`]): whoever learns of a generation or a
-//! plan passes it to its children, and to the root if it did not come down the tree. A child that does
-//! not answer is passed over, and its children are told instead. What that misses, the generation
-//! on every message heals: who hears of a higher one asks for it.
+//! Updates travel down the dissemination tree of the zone ([`ring::tree_order`]). A process that
+//! applies a new generation or plan pushes it to its children, and also to the root if the update
+//! did not come down the tree. If a child does not answer, the update is pushed to its children
+//! instead. Missed updates are repaired by the generation in every message: a process that receives
+//! a higher one than its own pulls the update from the sender.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -58,174 +59,180 @@
 /// Result of control calls.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// Events waiting for the control thread; an ask that finds it full is refused as busy.
-const EVENT_RING: usize = 1_024;
+/// Capacity of the event queue of the control thread. Requests that find it full are refused as
+/// busy.
+const EVENT_QUEUE_LEN: usize = 1_024;
 
-/// How often the thread looks at the time.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval at which timers are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a child in the tree may take to take news in.
+/// Timeout of pushing an update to another process of the tree.
 const PUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a peer may take to send what is newer.
+/// Timeout of pulling an update, or parts of it, from a peer.
 const PULL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a probe on behalf of another process may take: less than that process waits.
+/// Timeout of a probe on behalf of another process; shorter than that process waits.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long a survey of a part of the tree may take, for each level below.
+/// Timeout that each level of the tree allows for the survey of a child and its subtree.
 const SURVEY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long goodbyes may take.
+/// Timeout of announcing to peers that this process leaves.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The member list is refreshed at least this often, as flapping members calm down.
-const REFRESH: Duration = Duration::from_secs(1);
+/// Maximum interval between updates of the member list. Flapping members are left out of the list
+/// and return to it without a change of the view.
+const MEMBERS_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Without a change of members for this long, they count as settled, and however many changes
-/// there are, after this long: a host that flaps must not hold up placement.
-const SETTLED: Duration = Duration::from_millis(1_500);
-const MAX_UNSETTLED: Duration = Duration::from_secs(10);
+/// Time without a change of the view after which the members count as settled.
+const SETTLE_DELAY: Duration = Duration::from_millis(1_500);
+/// Time after which the members count as settled even if changes continue: a flapping host must not
+/// delay placement.
+const MAX_SETTLE_DELAY: Duration = Duration::from_secs(10);
 
-/// Rounds of fetching missing parts for one update.
-const MAX_ROUNDS: u32 = 64;
+/// Maximum number of requests for the missing parts of one update.
+const MAX_PART_REQUESTS: u32 = 64;
 
-/// Heartbeats in a row with other plans before they are asked for.
-const DIFFERENT_DOCS: u32 = 2;
+/// Consecutive heartbeat replies with different plans after which the plans are pulled.
+const PLAN_MISMATCHES_BEFORE_PULL: u32 = 2;
 
-/// A process that takes part in control.
-pub trait Controlled: std::marker::Send + Sync + 'static {
-    /// What it says of itself.
+/// A process that runs a control thread.
+pub trait ControlNode: std::marker::Send + Sync + 'static {
+    /// The local member, as announced to peers.
     fn member(&self) -> Member;
 
-    /// A message from it.
-    fn ask(&self, body: RequestBody) -> RequestMessage;
+    /// Wraps `body` in a message that names this process as its sender.
+    fn make_request(&self, body: RequestBody) -> RequestMessage;
 
-    /// What it has in force.
+    /// Configuration and plans in force.
     fn documents(&self) -> &Documents;
 
-    /// Its connections.
+    /// Transport for calls to peers.
     fn transport(&self) -> &Transport;
 
-    /// Its clock.
+    /// Monotonic clock for all timers of the thread.
     fn clock(&self) -> &Clock;
 
-    /// Its log and metrics.
+    /// Log and metrics of the process.
     fn telemetry(&self) -> &Telemetry;
 
-    /// The handle of its control thread.
+    /// Handle of the control thread.
     fn control(&self) -> &Control;
 
-    /// Whether it has ended.
+    /// Whether the process has ended; the control thread then leaves the membership and stops.
     fn is_over(&self) -> bool;
 
-    /// The platform lists its host as leaving, or no longer.
-    fn host_leaves(&self, _leaves: bool) {}
+    /// Called when the platform starts or stops listing the host of this process as leaving.
+    fn set_host_leaving(&self, _leaving: bool) {}
 }
 
-/// What the control thread is told.
+/// Input of the control thread.
 enum Event {
-    /// A peer asks.
-    Ask(Incoming),
-    /// A heartbeat was answered, or not.
-    Answered { to: SocketAddr, token: u64, reply: Option<Reply> },
-    /// Newer things came.
-    Came { from: SocketAddr, update: Box<Update>, way: Way },
-    /// Asking for newer things failed.
-    PullFailed,
-    /// The thread of the platform put a generation or plans in force.
-    FromPlatform { before: Generation, docs: Vec<SmolStr> },
-    /// The process at this place of the tree did not take news in.
-    NotPushed { rank: usize, update: Arc<Update> },
-    /// Addresses that may be members.
-    Hints(Vec<SocketAddr>),
+    /// A request from a peer.
+    Request(Incoming),
+    /// A call of the membership protocol has ended; `reply` is `None` if it failed.
+    MembershipCallEnded { to: SocketAddr, token: u64, reply: Option<Reply> },
+    /// An update was received.
+    Update { from: SocketAddr, update: Box<Update>, source: UpdateSource },
+    /// The pull in flight has ended.
+    PullEnded,
+    /// The platform thread has put a generation above `before`, or the plans `docs`, in force.
+    PlatformUpdate { before: Generation, docs: Vec<SmolStr> },
+    /// The process at `rank` in the tree did not acknowledge an update.
+    PushFailed { rank: usize, update: Arc<Update> },
+    /// Addresses of possible members.
+    Contacts(Vec<SocketAddr>),
 }
 
-/// How news came.
+/// Where an update came from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
-    /// Down the tree.
+enum UpdateSource {
+    /// Pushed by the parent in the tree.
     Tree,
-    /// In answer to an ask, or from the platform.
+    /// Pulled from a peer, or read from the platform.
     Other,
 }
 
-/// The handle of a control thread.
+/// Handle of a control thread.
 pub struct Control {
     tx: flume::Sender<Event>,
     rx: Mutex<Option<flume::Receiver<Event>>>,
     members: RwLock<Arc<Vec<Member>>>,
     seeds: Vec<SocketAddr>,
     relay_rank: AtomicU32,
-    alive: AtomicU64,
+    alive_peers: AtomicU64,
     settled: AtomicBool,
     has_settled: AtomicBool,
 }
 
-/// Marks a process that is no relay.
-const NO_RELAY: u32 = u32::MAX;
+/// Relay rank of a process that is not a relay.
+const NO_RELAY_RANK: u32 = u32::MAX;
 
 impl Control {
-    /// A handle whose thread is not started yet.
+    /// Creates the handle. [`start`] starts the thread, which first contacts `seeds`.
     pub fn new(seeds: Vec<SocketAddr>) -> Control {
-        let (tx, rx) = flume::bounded(EVENT_RING);
+        let (tx, rx) = flume::bounded(EVENT_QUEUE_LEN);
         Control {
             tx,
             rx: Mutex::new(Some(rx)),
             members: RwLock::default(),
             seeds,
-            relay_rank: AtomicU32::new(NO_RELAY),
-            alive: AtomicU64::new(0),
+            relay_rank: AtomicU32::new(NO_RELAY_RANK),
+            alive_peers: AtomicU64::new(0),
             settled: AtomicBool::new(false),
             has_settled: AtomicBool::new(false),
         }
     }
 
-    /// Everybody who is thought alive, this process included.
+    /// The local member and all peers that are alive or suspected, without flapping ones.
     pub fn members(&self) -> Arc<Vec<Member>> {
         self.members.read().expect("no holder of this lock panics").clone()
     }
 
-    /// How many others are thought alive.
-    pub fn alive(&self) -> u64 {
-        self.alive.load(Ordering::Acquire)
+    /// Number of peers that are alive or suspected.
+    pub fn alive_peers(&self) -> u64 {
+        self.alive_peers.load(Ordering::Acquire)
     }
 
-    /// Whether nobody came, left or died for a moment. While a fleet starts, or a rack fails, a plan
-    /// made from half the members would be thrown away at once, after weights moved for it.
+    /// Whether the members are settled: none has joined, left or died recently. A plan made while a
+    /// fleet starts or a rack fails would be based on part of the members. It would be replaced at
+    /// once, after weights had already been moved for it.
     pub fn is_settled(&self) -> bool {
         self.settled.load(Ordering::Acquire)
     }
 
-    /// Whether the members have settled once in this life. Before that an entry knows some
-    /// endpoints only, or none, and would refuse what others can answer.
+    /// Whether the members have settled at least once since the process started. Until then an
+    /// entry has only some of the endpoints, or none, and would refuse requests that other entries
+    /// can serve.
     pub fn has_settled(&self) -> bool {
         self.has_settled.load(Ordering::Acquire)
     }
 
-    /// This process's place among its zone's relays, if it is one of them.
+    /// Rank of this process among the relays of its zone; `None` if it is not a relay.
     pub fn relay_rank(&self) -> Option<u32> {
         let rank = self.relay_rank.load(Ordering::Acquire);
-        (rank != NO_RELAY).then_some(rank)
+        (rank != NO_RELAY_RANK).then_some(rank)
     }
 
-    /// Hands an ask about members or documents to the thread.
-    pub fn take(&self, incoming: Incoming) {
-        if let Err(error) = self.tx.try_send(Event::Ask(incoming))
-            && let Event::Ask(incoming) = error.into_inner()
+    /// Passes a membership or distribution request to the thread.
+    pub fn handle(&self, incoming: Incoming) {
+        if let Err(error) = self.tx.try_send(Event::Request(incoming))
+            && let Event::Request(incoming) = error.into_inner()
         {
             refuse(&incoming.replies, Code::Busy);
         }
     }
 
-    /// Adds addresses that may be members.
-    pub fn hint(&self, addresses: Vec<SocketAddr>) {
-        let _ = self.tx.try_send(Event::Hints(addresses));
+    /// Replaces the addresses of possible members to contact.
+    pub fn set_contacts(&self, addresses: Vec<SocketAddr>) {
+        let _ = self.tx.try_send(Event::Contacts(addresses));
     }
 
-    /// Says that something above `before`, and these plans, came in force from the platform.
-    pub fn learned(&self, before: Generation, docs: Vec<SmolStr>) {
-        let _ = self.tx.send(Event::FromPlatform { before, docs });
+    /// Reports that a generation above `before`, or the plans `docs`, were read from the platform
+    /// and put in force, so that the thread forwards them.
+    pub fn notify_platform_update(&self, before: Generation, docs: Vec<SmolStr>) {
+        let _ = self.tx.send(Event::PlatformUpdate { before, docs });
     }
 }
 
@@ -234,8 +241,8 @@
     let _ = replies.send(Reply { generation: Generation::default(), body });
 }
 
-/// Starts the control thread of a process.
-pub fn start<N: Controlled>(node: &Arc<N>) -> thread::JoinHandle<()> {
+/// Starts the control thread of a process. It panics if the thread was started before.
+pub fn start<N: ControlNode>(node: &Arc<N>) -> thread::JoinHandle<()> {
     let rx = node.control().rx.lock().expect("no holder of this lock panics").take();
     let rx = rx.expect("a control thread is started once");
     let node = node.clone();
@@ -247,44 +254,44 @@
     thread::Builder::new().name("control".to_owned()).spawn(run).expect("the system gives a thread")
 }
 
-async fn run<N: Controlled>(node: Arc<N>, rx: flume::Receiver<Event>) {
-    let mut control = Loop::new(node);
+async fn run<N: ControlNode>(node: Arc<N>, rx: flume::Receiver<Event>) {
+    let mut control = ControlLoop::new(node);
     while !control.node.is_over() {
-        if let Ok(Ok(event)) = tokio::time::timeout(TICK, rx.recv_async()).await {
-            control.take(event);
+        if let Ok(Ok(event)) = tokio::time::timeout(TICK_INTERVAL, rx.recv_async()).await {
+            control.handle(event);
         }
         control.tick();
     }
     control.leave().await;
 }
 
-struct Loop<N> {
+struct ControlLoop<N> {
     node: Arc<N>,
     membership: Membership,
-    tick_at: Time,
-    refreshed: Time,
-    version: u64,
-    pulling: bool,
-    unsettled: Option<Time>,
-    different_docs: u32,
-    /// The zone's tree and this process's place in it.
+    next_tick: Time,
+    refreshed_at: Time,
+    members_version: u64,
+    pull_in_flight: bool,
+    unsettled_since: Option<Time>,
+    plan_mismatches: u32,
+    /// Dissemination tree of the zone by rank, and the rank of this process in it.
     tree: Vec<(HostName, SocketAddr)>,
     rank: usize,
 }
 
-impl<N: Controlled> Loop<N> {
-    fn new(node: Arc<N>) -> Loop<N> {
+impl<N: ControlNode> ControlLoop<N> {
+    fn new(node: Arc<N>) -> ControlLoop<N> {
         let seeds = node.control().seeds.clone();
         let membership = Membership::new(node.member(), seeds, GossipConfig::default());
-        Loop {
+        ControlLoop {
             node,
             membership,
-            tick_at: Time::ZERO,
-            refreshed: Time::ZERO,
-            version: u64::MAX,
-            pulling: false,
-            unsettled: None,
-            different_docs: 0,
+            next_tick: Time::ZERO,
+            refreshed_at: Time::ZERO,
+            members_version: u64::MAX,
+            pull_in_flight: false,
+            unsettled_since: None,
+            plan_mismatches: 0,
             tree: Vec::new(),
             rank: 0,
         }
@@ -300,65 +307,71 @@
 
     fn tick(&mut self) {
         let now = self.now();
-        if now < self.tick_at {
+        if now < self.next_tick {
             return;
         }
-        self.tick_at = now + TICK;
+        self.next_tick = now + TICK_INTERVAL;
         self.membership.set_local_member(self.node.member());
         self.membership.set_plans_fingerprint(self.node.documents().fingerprint());
-        let sends = self.membership.tick(now, &mut rand::rng());
-        self.send_all(sends);
-        self.settle(now);
-        self.refresh(now);
+        let messages = self.membership.tick(now, &mut rand::rng());
+        self.send_all(messages);
+        self.update_settled(now);
+        self.refresh_members(now);
     }
 
-    fn settle(&mut self, now: Time) {
-        let quiet =
-            now.passed(self.membership.last_change(), SETTLED) && now >= Time::ZERO + SETTLED;
-        if quiet {
-            self.unsettled = None;
+    fn update_settled(&mut self, now: Time) {
+        let is_quiet = now.passed(self.membership.last_change(), SETTLE_DELAY)
+            && now >= Time::ZERO + SETTLE_DELAY;
+        if is_quiet {
+            self.unsettled_since = None;
         }
-        let since = *self.unsettled.get_or_insert(now);
-        let settled = quiet || now.passed(since, MAX_UNSETTLED);
+        let since = *self.unsettled_since.get_or_insert(now);
+        let settled = is_quiet || now.passed(since, MAX_SETTLE_DELAY);
         let control = self.node.control();
         control.settled.store(settled, Ordering::Release);
         control.has_settled.fetch_or(settled, Ordering::AcqRel);
     }
 
-    fn refresh(&mut self, now: Time) {
+    fn refresh_members(&mut self, now: Time) {
         let version = self.membership.version();
-        if version == self.version && !now.passed(self.refreshed, REFRESH) {
+        if version == self.members_version
+            && !now.passed(self.refreshed_at, MEMBERS_REFRESH_INTERVAL)
+        {
             return;
         }
-        let changed = version != self.version;
-        self.version = version;
-        self.refreshed = now;
+        let changed = version != self.members_version;
+        self.members_version = version;
+        self.refreshed_at = now;
         let members = self.membership.members(now);
         if changed {
-            self.plant(&members);
+            self.rebuild_tree(&members);
         }
         let control = self.node.control();
-        control.alive.store(self.membership.alive_count() as u64, Ordering::Release);
+        control.alive_peers.store(self.membership.alive_count() as u64, Ordering::Release);
         *control.members.write().expect("no holder of this lock panics") = Arc::new(members);
     }
 
-    fn plant(&mut self, members: &[Member]) {
+    fn rebuild_tree(&mut self, members: &[Member]) {
         let me = self.node.member();
         let all: Vec<&Member> = members.iter().collect();
         let order = ring::tree_order(&me.zone, &all);
         let relays = ring::relays(&me.zone, &all);
         let relay = relays.iter().position(|member| member.host == me.host);
-        let relay = relay.map_or(NO_RELAY, |rank| rank as u32);
+        let relay = relay.map_or(NO_RELAY_RANK, |rank| rank as u32);
         let old = self.node.control().relay_rank.swap(relay, Ordering::AcqRel);
-        if (old == NO_RELAY) != (relay == NO_RELAY) {
-            info!(self.node.telemetry().log, "relay"; "is_relay" => relay != NO_RELAY);
+        if (old == NO_RELAY_RANK) != (relay == NO_RELAY_RANK) {
+            info!(
+                self.node.telemetry().log,
+                "relay role changed";
+                "is_relay" => relay != NO_RELAY_RANK
+            );
         }
         self.rank = order.iter().position(|member| member.host == me.host).unwrap_or(0);
         self.tree = order.into_iter().map(|m| (m.host.clone(), m.address)).collect();
     }
 
-    fn send_all(&self, sends: Vec<OutboundMessage>) {
-        for OutboundMessage { to, token, request } in sends {
+    fn send_all(&self, messages: Vec<OutboundMessage>) {
+        for OutboundMessage { to, token, request } in messages {
             let tx = self.node.control().tx.clone();
             let call = self.call(
                 to,
@@ -367,19 +380,19 @@
             );
             tokio::spawn(async move {
                 let reply = call.await.ok();
-                let _ = tx.send_async(Event::Answered { to, token, reply }).await;
+                let _ = tx.send_async(Event::MembershipCallEnded { to, token, reply }).await;
             });
         }
     }
 
-    /// Asks a peer; only the first reply counts.
+    /// Calls a peer and returns its first reply.
     fn call(
         &self,
         to: SocketAddr,
         body: RequestBody,
         timeout: Duration,
     ) -> impl Future<Output = Result<Reply>> + std::marker::Send + 'static {
-        let mut call = self.node.transport().call(to, &self.node.ask(body));
+        let mut call = self.node.transport().call(to, &self.node.make_request(body));
         async move {
             match tokio::time::timeout(timeout, call.next()).await {
                 Ok(Some(reply)) => reply,
@@ -389,22 +402,22 @@
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Ask(incoming) => self.take_ask(incoming),
-            Event::Answered { to, token, reply } => self.take_answer(to, token, reply),
-            Event::Came { from, update, way } => self.take_update(from, *update, way),
-            Event::PullFailed => self.pulling = false,
-            Event::FromPlatform { before, docs } => {
-                let update = self.news_since(before, &docs);
-                self.pass_on(update, Way::Other);
+            Event::Request(incoming) => self.handle_request(incoming),
+            Event::MembershipCallEnded { to, token, reply } => self.handle_reply(to, token, reply),
+            Event::Update { from, update, source } => self.handle_update(from, *update, source),
+            Event::PullEnded => self.pull_in_flight = false,
+            Event::PlatformUpdate { before, docs } => {
+                let update = self.update_since(before, &docs);
+                self.disseminate(update, UpdateSource::Other);
             }
-            Event::NotPushed { rank, update } => self.push_below(rank, &update),
-            Event::Hints(addresses) => self.membership.set_contacts(addresses),
+            Event::PushFailed { rank, update } => self.push_to_children(rank, &update),
+            Event::Contacts(addresses) => self.membership.set_contacts(addresses),
         }
     }
 
-    fn take_ask(&mut self, incoming: Incoming) {
+    fn handle_request(&mut self, incoming: Incoming) {
         let Incoming { peer, request, replies } = incoming;
         let from = request.from.host.clone();
         if request.from.generation > self.generation()
@@ -414,11 +427,11 @@
         }
         let body = match request.body {
             RequestBody::Members(MembersRequest::IndirectProbe(address)) => {
-                return self.probe_for(address, replies);
+                return self.probe_indirectly(address, replies);
             }
-            RequestBody::Members(MembersRequest::HostLeaving(leaves)) => {
+            RequestBody::Members(MembersRequest::HostLeaving(leaving)) => {
                 if peer.role == Role::Entry {
-                    self.node.host_leaves(leaves);
+                    self.node.set_host_leaving(leaving);
                 }
                 ReplyBody::Members(MembersReply::Ack)
             }
@@ -426,8 +439,10 @@
                 let now = self.now();
                 ReplyBody::Members(self.membership.on_request(now, &from, request))
             }
-            RequestBody::Spread(SpreadRequest::Survey) => return self.survey(replies),
-            RequestBody::Spread(request) => ReplyBody::Spread(self.take_spread(&from, request)),
+            RequestBody::Spread(SpreadRequest::Survey) => return self.survey_subtree(replies),
+            RequestBody::Spread(request) => {
+                ReplyBody::Spread(self.handle_spread_request(&from, request))
+            }
             _ => ReplyBody::Refused(Code::WrongRole),
         };
         let _ = replies.send(Reply { generation: self.generation(), body });
@@ -439,19 +454,22 @@
         found.map(|member| member.address)
     }
 
-    fn take_spread(&mut self, from: &HostName, ask: SpreadRequest) -> SpreadReply {
-        match ask {
+    fn handle_spread_request(&mut self, from: &HostName, request: SpreadRequest) -> SpreadReply {
+        match request {
             SpreadRequest::NewerThan { generation, docs } => {
-                SpreadReply::Update(self.node.documents().above(generation, &docs))
+                SpreadReply::Update(self.node.documents().newer_than(generation, &docs))
             }
             SpreadRequest::Parts(digests) => {
                 SpreadReply::Parts(self.node.documents().parts(&digests))
             }
             SpreadRequest::Push(update) => {
                 if let Some(address) = self.address_of(from) {
-                    let (update, way) = (Box::new(update), Way::Tree);
-                    let _ =
-                        self.node.control().tx.try_send(Event::Came { from: address, update, way });
+                    let (update, source) = (Box::new(update), UpdateSource::Tree);
+                    let _ = self.node.control().tx.try_send(Event::Update {
+                        from: address,
+                        update,
+                        source,
+                    });
                 }
                 SpreadReply::Ack
             }
@@ -459,7 +477,7 @@
         }
     }
 
-    fn take_answer(&mut self, to: SocketAddr, token: u64, reply: Option<Reply>) {
+    fn handle_reply(&mut self, to: SocketAddr, token: u64, reply: Option<Reply>) {
         let now = self.now();
         let mut members_reply = None;
         if let Some(reply) = reply {
@@ -467,100 +485,109 @@
                 self.pull(to, self.generation());
             }
             if let ReplyBody::Members(body) = reply.body {
-                self.compare_docs(to, &body);
+                self.compare_plans(to, &body);
                 members_reply = Some(body);
             }
         }
-        let sends = self.membership.on_reply(now, token, members_reply, &mut rand::rng());
-        self.send_all(sends);
+        let messages = self.membership.on_reply(now, token, members_reply, &mut rand::rng());
+        self.send_all(messages);
     }
 
-    /// Plans that differ for longer than news takes were missed by one side or the other.
-    fn compare_docs(&mut self, to: SocketAddr, reply: &MembersReply) {
+    /// Pulls the plans of a peer if they differ for longer than an update takes to spread, because
+    /// one side has then missed an update.
+    fn compare_plans(&mut self, to: SocketAddr, reply: &MembersReply) {
         let MembersReply::Heartbeat(heartbeat) = reply else {
             return;
         };
         if heartbeat.plans_fingerprint == self.node.documents().fingerprint() {
-            self.different_docs = 0;
+            self.plan_mismatches = 0;
             return;
         }
-        self.different_docs += 1;
-        if self.different_docs >= DIFFERENT_DOCS {
-            self.different_docs = 0;
+        self.plan_mismatches += 1;
+        if self.plan_mismatches >= PLAN_MISMATCHES_BEFORE_PULL {
+            self.plan_mismatches = 0;
             self.pull(to, self.generation());
         }
     }
 
-    /// Asks `from` for everything above what is here; one such ask at a time.
+    /// Requests all files changed after `generation` and all newer plans from `from`. At most one
+    /// pull is in flight.
     fn pull(&mut self, from: SocketAddr, generation: Generation) {
-        if self.pulling {
+        if self.pull_in_flight {
             return;
         }
-        self.pulling = true;
+        self.pull_in_flight = true;
         let docs = self.node.documents().revisions();
-        let ask = SpreadRequest::NewerThan { generation, docs };
-        let call = self.call(from, RequestBody::Spread(ask), PULL_TIMEOUT);
+        let request = SpreadRequest::NewerThan { generation, docs };
+        let call = self.call(from, RequestBody::Spread(request), PULL_TIMEOUT);
         let tx = self.node.control().tx.clone();
         tokio::spawn(async move {
             let event = match call.await.map(|reply| reply.body) {
                 Ok(ReplyBody::Spread(SpreadReply::Update(update))) => {
-                    Event::Came { from, update: Box::new(update), way: Way::Other }
+                    Event::Update { from, update: Box::new(update), source: UpdateSource::Other }
                 }
-                _ => Event::PullFailed,
+                _ => Event::PullEnded,
             };
             let _ = tx.send_async(event).await;
         });
     }
 
-    fn take_update(&mut self, from: SocketAddr, update: Update, way: Way) {
-        if way == Way::Other {
-            self.pulling = false;
+    fn handle_update(&mut self, from: SocketAddr, update: Update, source: UpdateSource) {
+        if source == UpdateSource::Other {
+            self.pull_in_flight = false;
         }
         let before = self.generation();
         if let Some(delta) = &update.delta {
-            match self.node.documents().offer_config(delta, &update.parts) {
+            match self.node.documents().apply_config(delta, &update.parts) {
                 ApplyOutcome::Stale => {}
                 ApplyOutcome::Applied(problems) => {
                     let log = &self.node.telemetry().log;
                     info!(log, "configuration in force"; "generation" => delta.to.0);
                     if !problems.is_empty() {
-                        warn!(log, "keys not known here"; "count" => problems.len());
+                        warn!(log, "configuration has unknown keys"; "count" => problems.len());
                     }
                 }
                 ApplyOutcome::Gap => return self.pull(from, Generation(0)),
                 ApplyOutcome::MissingParts(missing) => {
-                    return self.fetch(from, update, missing, way);
+                    return self.fetch_parts(from, update, missing, source);
                 }
             }
         }
         let mut docs = Vec::new();
         for doc in &update.docs {
-            if self.node.documents().offer(doc.clone()) {
+            if self.node.documents().insert_plan(doc.clone()) {
                 docs.push(doc.key.clone());
             }
         }
-        let news = self.news_since(before, &docs);
-        if !news.is_empty() {
-            self.pass_on(news, way);
+        let update = self.update_since(before, &docs);
+        if !update.is_empty() {
+            self.disseminate(update, source);
         }
     }
 
-    fn fetch(&mut self, from: SocketAddr, mut update: Update, missing: Vec<MissingPart>, way: Way) {
-        self.pulling = true;
+    fn fetch_parts(
+        &mut self,
+        from: SocketAddr,
+        mut update: Update,
+        missing: Vec<MissingPart>,
+        source: UpdateSource,
+    ) {
+        self.pull_in_flight = true;
         let tx = self.node.control().tx.clone();
         let node = self.node.clone();
         tokio::spawn(async move {
-            let mut wanted: Vec<_> = missing.into_iter().map(|part| part.digest).collect();
-            for _ in 0..MAX_ROUNDS {
-                if wanted.is_empty() {
+            let mut remaining: Vec<_> = missing.into_iter().map(|part| part.digest).collect();
+            for _ in 0..MAX_PART_REQUESTS {
+                if remaining.is_empty() {
                     let update = Box::new(update);
-                    let _ = tx.send_async(Event::PullFailed).await;
-                    let _ = tx.send_async(Event::Came { from, update, way }).await;
+                    let _ = tx.send_async(Event::PullEnded).await;
+                    let _ = tx.send_async(Event::Update { from, update, source }).await;
                     return;
                 }
-                let asked = wanted.iter().take(MAX_PARTS).copied().collect();
-                let ask = node.ask(RequestBody::Spread(SpreadRequest::Parts(asked)));
-                let mut call = node.transport().call(from, &ask);
+                let requested = remaining.iter().take(MAX_PARTS).copied().collect();
+                let request =
+                    node.make_request(RequestBody::Spread(SpreadRequest::Parts(requested)));
+                let mut call = node.transport().call(from, &request);
                 let reply = tokio::time::timeout(PULL_TIMEOUT, call.next()).await;
                 let Ok(Some(Ok(Reply { body, .. }))) = reply else {
                     break;
@@ -568,63 +595,64 @@
                 let ReplyBody::Spread(SpreadReply::Parts(parts)) = body else {
                     break;
                 };
-                let before = wanted.len();
+                let before = remaining.len();
                 for part in parts {
                     let digest = mastichaven_core::ids::Digest::of(&part);
-                    wanted.retain(|wanted| *wanted != digest);
+                    remaining.retain(|part| *part != digest);
                     update.parts.push(part);
                 }
-                if wanted.len() == before {
+                if remaining.len() == before {
                     break;
                 }
             }
-            let _ = tx.send_async(Event::PullFailed).await;
+            let _ = tx.send_async(Event::PullEnded).await;
         });
     }
 
-    /// What came in force here since `before`, as an update for others.
-    fn news_since(&self, before: Generation, keys: &[SmolStr]) -> Update {
+    /// The files that came in force after `before`, and the plans `keys`, as an update for peers.
+    fn update_since(&self, before: Generation, keys: &[SmolStr]) -> Update {
         let documents = self.node.documents();
-        let mut update = documents.above(before, &documents.revisions());
+        let mut update = documents.newer_than(before, &documents.revisions());
         update.docs = documents.docs(keys);
         update
     }
 
-    fn pass_on(&self, update: Update, way: Way) {
+    fn disseminate(&self, update: Update, source: UpdateSource) {
         let update = Arc::new(update);
-        if way == Way::Other && self.rank != 0 {
-            self.push_to(0, &update, false);
+        if source == UpdateSource::Other && self.rank != 0 {
+            self.push_to_rank(0, &update, false);
         }
-        self.push_below(self.rank, &update);
+        self.push_to_children(self.rank, &update);
     }
 
-    fn push_below(&self, rank: usize, update: &Arc<Update>) {
+    fn push_to_children(&self, rank: usize, update: &Arc<Update>) {
         for child in ring::tree_children(rank, self.tree.len()) {
-            self.push_to(child, update, true);
+            self.push_to_rank(child, update, true);
         }
     }
 
-    /// Hands news to the process at one place of the tree. When it does not take it and `adopt` is
-    /// set, those below it are told from here, or a dead process would cut off its whole branch.
-    fn push_to(&self, rank: usize, update: &Arc<Update>, adopt: bool) {
+    /// Pushes an update to the process at `rank`. If it does not acknowledge the update and
+    /// `adopt_children` is set, the update is pushed to its children, because a dead process would
+    /// otherwise cut off its whole subtree.
+    fn push_to_rank(&self, rank: usize, update: &Arc<Update>, adopt_children: bool) {
         let Some((host, to)) = self.tree.get(rank) else {
             return;
         };
         if *host == self.node.member().host {
             return;
         }
-        let ask = SpreadRequest::Push(Update::clone(update));
-        let call = self.call(*to, RequestBody::Spread(ask), PUSH_TIMEOUT);
+        let request = SpreadRequest::Push(Update::clone(update));
+        let call = self.call(*to, RequestBody::Spread(request), PUSH_TIMEOUT);
         let (tx, update) = (self.node.control().tx.clone(), update.clone());
         tokio::spawn(async move {
-            let taken = matches!(call.await, Ok(Reply { body: ReplyBody::Spread(_), .. }));
-            if !taken && adopt {
-                let _ = tx.send_async(Event::NotPushed { rank, update }).await;
+            let accepted = matches!(call.await, Ok(Reply { body: ReplyBody::Spread(_), .. }));
+            if !accepted && adopt_children {
+                let _ = tx.send_async(Event::PushFailed { rank, update }).await;
             }
         });
     }
 
-    fn probe_for(&self, address: SocketAddr, replies: ReplySink) {
+    fn probe_indirectly(&self, address: SocketAddr, replies: ReplySink) {
         let call = self.call(address, RequestBody::Members(MembersRequest::Probe), PROBE_TIMEOUT);
         let generation = self.generation();
         tokio::spawn(async move {
@@ -634,8 +662,9 @@
         });
     }
 
-    /// Asks the children what those below them have in force, and puts the answers together.
-    fn survey(&self, replies: ReplySink) {
+    /// Requests the generations in force from the subtree of each child and replies with the merged
+    /// survey.
+    fn survey_subtree(&self, replies: ReplySink) {
         let children = ring::tree_children(self.rank, self.tree.len());
         let calls: Vec<_> = children
             .map(|child| {
@@ -660,11 +689,15 @@
     }
 
     async fn leave(&mut self) {
-        let sends = self.membership.leave();
-        let calls: Vec<_> = sends
+        let messages = self.membership.leave();
+        let calls: Vec<_> = messages
             .into_iter()
-            .map(|send| {
-                tokio::spawn(self.call(send.to, RequestBody::Members(send.request), LEAVE_TIMEOUT))
+            .map(|message| {
+                tokio::spawn(self.call(
+                    message.to,
+                    RequestBody::Members(message.request),
+                    LEAVE_TIMEOUT,
+                ))
             })
             .collect();
         for call in calls {
--- a/node/src/documents.rs
+++ b/node/src/documents.rs
@@ -1,4 +1,4 @@
-//! The documents in force in this process: the accepted configuration and the plans.
+//! The configuration and the plans in force in this process.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,12 +23,12 @@
 use mastichaven_core::spread::Update;
 use smol_str::SmolStr;
 
-/// An accepted configuration and its generation.
+/// The accepted configuration that is in force.
 #[derive(Clone, Debug, Default)]
-pub struct InForce {
-    /// Its generation.
+pub struct ConfigInForce {
+    /// Accepted generation; 0 until a configuration is in force.
     pub generation: Generation,
-    /// What operators declared.
+    /// Content of all files, merged.
     pub config: Arc<Config>,
 }
 
@@ -39,11 +39,11 @@
     files: Files,
 }
 
-/// Documents shared by the threads of a process. They only rise.
+/// Documents shared by the threads of a process. Generations and revisions only rise.
 #[derive(Debug, Default)]
 pub struct Documents {
     state: Mutex<State>,
-    in_force: RwLock<Arc<InForce>>,
+    in_force: RwLock<Arc<ConfigInForce>>,
     fingerprint: AtomicU64,
 }
 
@@ -52,8 +52,8 @@
         self.state.lock().expect("no holder of this lock panics")
     }
 
-    /// Takes a plan in if it is newer, and says whether it was.
-    pub fn offer(&self, doc: Doc) -> bool {
+    /// Inserts a plan if its revision is newer. Returns whether it was inserted.
+    pub fn insert_plan(&self, doc: Doc) -> bool {
         let plan = serde_json::from_slice(&doc.bytes).ok();
         let (key, revision) = (doc.key.clone(), doc.revision);
         let mut state = self.lock();
@@ -67,28 +67,28 @@
         true
     }
 
-    /// Puts a configuration in force if it is newer and whole.
-    pub fn offer_config(&self, delta: &Delta, parts: &[Bytes]) -> ApplyOutcome {
+    /// Puts a configuration in force if it is newer and each of its parts is stored or in `parts`.
+    pub fn apply_config(&self, delta: &Delta, parts: &[Bytes]) -> ApplyOutcome {
         let mut state = self.lock();
-        let offer = state.files.apply(delta, parts);
-        if let ApplyOutcome::Applied(_) = offer {
-            let in_force = InForce { generation: delta.to, config: state.files.config() };
+        let outcome = state.files.apply(delta, parts);
+        if let ApplyOutcome::Applied(_) = outcome {
+            let in_force = ConfigInForce { generation: delta.to, config: state.files.config() };
             *self.in_force.write().expect("no holder of this lock panics") = Arc::new(in_force);
         }
-        offer
+        outcome
     }
 
     /// The configuration in force.
-    pub fn in_force(&self) -> Arc<InForce> {
+    pub fn in_force(&self) -> Arc<ConfigInForce> {
         self.in_force.read().expect("no holder of this lock panics").clone()
     }
 
-    /// The generation in force.
+    /// The generation in force; 0 if there is none.
     pub fn generation(&self) -> Generation {
         self.in_force.read().expect("no holder of this lock panics").generation
     }
 
-    /// The plan of a model and its revision.
+    /// Revision and content of the plan of a model.
     pub fn plan(&self, model: &ModelName) -> Option<(u64, Plan)> {
         self.lock().plans.get(plan_key(model).as_str()).cloned()
     }
@@ -98,32 +98,32 @@
         self.lock().docs.revisions()
     }
 
-    /// A number that differs between processes whose plans differ.
+    /// Hash of the keys and revisions of all plans, see [`Docs::fingerprint`].
     pub fn fingerprint(&self) -> u64 {
         self.fingerprint.load(Ordering::Acquire)
     }
 
-    /// What is newer here than a generation and these revisions.
-    pub fn above(&self, generation: Generation, revisions: &[(SmolStr, u64)]) -> Update {
+    /// Files changed after `generation`, and plans that are newer than `revisions`.
+    pub fn newer_than(&self, generation: Generation, revisions: &[(SmolStr, u64)]) -> Update {
         let state = self.lock();
         let mut update = state.files.newer_than(generation).unwrap_or_default();
         update.docs = state.docs.newer_than(revisions);
         update
     }
 
-    /// The plans under these keys.
+    /// The plans with these keys; missing ones are skipped.
     pub fn docs(&self, keys: &[SmolStr]) -> Vec<Doc> {
         let state = self.lock();
         keys.iter().filter_map(|key| state.docs.get(key).cloned()).collect()
     }
 
-    /// Those of the asked parts of files that are here.
-    pub fn parts(&self, asked: &[Digest]) -> Vec<Bytes> {
-        self.lock().files.parts(asked)
+    /// Those of the requested file parts that are stored, as many as fit into one message.
+    pub fn parts(&self, requested: &[Digest]) -> Vec<Bytes> {
+        self.lock().files.parts(requested)
     }
 
-    /// Files and their bytes, for the dump.
-    pub fn files(&self) -> (usize, usize) {
+    /// Number of files in force and bytes of all their parts.
+    pub fn file_stats(&self) -> (usize, usize) {
         let state = self.lock();
         (state.files.list().files().len(), state.files.len_bytes())
     }
--- a/node/src/entry.rs
+++ b/node/src/entry.rs
@@ -40,7 +40,7 @@
 use crate::clock::Clock;
 use crate::control;
 use crate::control::Control;
-use crate::control::Controlled;
+use crate::control::ControlNode;
 use crate::documents::Documents;
 use crate::http_store::HttpStore;
 use crate::operator;
@@ -279,12 +279,12 @@
     thread::Builder::new().name(name.to_owned()).spawn(run).expect("the system gives a thread")
 }
 
-impl Controlled for Shared {
+impl ControlNode for Shared {
     fn member(&self) -> Member {
         Shared::member(self)
     }
 
-    fn ask(&self, body: RequestBody) -> RequestMessage {
+    fn make_request(&self, body: RequestBody) -> RequestMessage {
         Shared::ask(self, body)
     }
 
--- a/node/src/entry/asks.rs
+++ b/node/src/entry/asks.rs
@@ -24,7 +24,7 @@
 
 fn answer(shared: &Shared, incoming: Incoming) {
     match incoming.request.body {
-        RequestBody::Members(_) | RequestBody::Spread(_) => shared.control.take(incoming),
+        RequestBody::Members(_) | RequestBody::Spread(_) => shared.control.handle(incoming),
         RequestBody::Relay(ask) => shared.claims.relay(ask, incoming.replies),
         RequestBody::Suspect(crash) => {
             shared.suspects.told(shared, crash);
--- a/node/src/folder_publisher.rs
+++ b/node/src/folder_publisher.rs
@@ -1,4 +1,4 @@
-//! Publishing a folder with its base file, once or whenever it changes.
+//! Publishes a folder, once or after each change, and maintains its base file.
 
 use std::path::Path;
 use std::thread;
@@ -9,64 +9,67 @@
 use crate::publish;
 use crate::publish::Accepted;
 use crate::publish::Base;
+use crate::publish::FileContents;
 use crate::publish::Options;
 use crate::publish::PublishError;
 use crate::publish::Result;
-use crate::publish::Texts;
 
-/// How often a watched folder is read. An editor writes several files one after the other, so a
-/// change is published only when two readings agree.
+/// Interval between reads of a watched folder. Editors save several files one after the other, so a
+/// change is published only after two consecutive reads agree.
 const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A folder and the platform it is published to.
+/// Publishes a folder to the platform.
 pub struct FolderPublisher<'a> {
-    /// The platform.
+    /// Platform that the folder is published to.
     pub store: &'a dyn ObjectStore,
-    /// The folder.
+    /// Folder of `.toml` files; its base file is in the same folder.
     pub folder: &'a Path,
-    /// Whether a folder that declares nothing may be published.
+    /// Whether a folder without any definition may be published.
     pub allow_empty: bool,
 }
 
 impl FolderPublisher<'_> {
-    /// Publishes the folder once; without `base` the base file beside it is the base.
+    /// Publishes the folder once, against `base` or, if that is `None`, the base file of the
+    /// folder.
     pub fn once(&self, base: Option<Base>) -> Result<Accepted> {
-        let texts = publish::read_folder(self.folder)?;
-        self.publish(&texts, base)
+        let contents = publish::read_folder(self.folder)?;
+        self.publish(&contents, base)
     }
 
-    /// Publishes now and after each change, and prints what became of it; never ends by itself.
+    /// Publishes the folder now and after each change, and prints each result. `base` applies until
+    /// the first success; then the base file is used.
     pub fn watch(&self, mut base: Option<Base>) -> ! {
-        let mut published: Option<Texts> = None;
-        let mut read: Option<Texts> = None;
+        let mut published: Option<FileContents> = None;
+        let mut previous: Option<FileContents> = None;
         loop {
-            let now = publish::read_folder(self.folder).ok();
-            if now.is_some() && now == read && now != published {
-                let texts = now.clone().unwrap_or_default();
-                match self.publish(&texts, base.clone()) {
+            let current = publish::read_folder(self.folder).ok();
+            if current.is_some() && current == previous && current != published {
+                let contents = current.clone().unwrap_or_default();
+                match self.publish(&contents, base.clone()) {
                     Ok(accepted) => {
                         println!("{accepted}");
                         base = None;
-                        published = now.clone();
+                        published = current.clone();
                     }
-                    // The platform may be back at the next reading; a wrong folder must change.
+                    // A platform error may be gone at the next read and is retried. Any other error
+                    // lasts until the folder changes.
                     Err(error @ PublishError::Platform(_)) => eprintln!("{error}"),
                     Err(error) => {
                         eprintln!("{error}");
-                        published = now.clone();
+                        published = current.clone();
                     }
                 }
             }
-            read = now;
+            previous = current;
             thread::sleep(WATCH_INTERVAL);
         }
     }
 
-    fn publish(&self, texts: &Texts, base: Option<Base>) -> Result<Accepted> {
+    fn publish(&self, contents: &FileContents, base: Option<Base>) -> Result<Accepted> {
         let base = base.map_or_else(|| publish::read_base(self.folder), Ok)?;
         let options = Options { allow_empty: self.allow_empty, ..Options::new(base) };
-        let accepted = publish::publish(self.store, texts, &options)?;
-        publish::write_base(self.folder, accepted.generation, texts)?;
+        let accepted = publish::publish(self.store, contents, &options)?;
+        publish::write_base(self.folder, accepted.generation, contents)?;
         Ok(accepted)
     }
 }
--- a/node/src/http_store.rs
+++ b/node/src/http_store.rs
@@ -1,12 +1,13 @@
-//! The platform's object API over HTTP: the one file that knows its paths and headers.
+//! HTTP client of the platform's object API. The paths and headers of that API are used only in
+//! this file.
 //!
-//! | call | request | answers |
+//! | call | request | responses |
 //! | --- | --- | --- |
 //! | read | `GET /v1/objects/KEY` | 200 with `etag: REVISION`, 404 |
 //! | write | `PUT /v1/objects/KEY` with `if-match: REVISION` or `if-none-match: *` | 200 with `etag`, 412, 413, 429 |
 //! | delete | `DELETE /v1/objects/KEY` with `if-match` | 200, 404, 412 |
 //! | list | `GET /v1/list?prefix=P` | 200 with `[[KEY, REVISION], …]` |
-//! | watch | `GET /v1/watch?prefix=P&after=REVISION&wait_ms=N` | 200 with [`Changes`], 410 when compacted |
+//! | watch | `GET /v1/watch?prefix=P&after=REVISION&wait_ms=N` | 200 with [`Changes`], 410 if compacted |
 //! | hosts | `GET /v1/hosts` | 200 with a list of [`ListedHost`] |
 
 use std::time::Duration;
@@ -28,20 +29,21 @@
 use crate::fetch::Fetched;
 use crate::fetch::fetch;
 
-/// Seconds a call may take, apart from a watch's own wait.
-const TIMEOUT_SECONDS: u64 = 3;
+/// Timeout of a call in seconds; a watch adds its own wait time.
+const CALL_TIMEOUT_SECONDS: u64 = 3;
 
-/// Bytes of a list, of changes or of hosts at most: some thousand hosts with long names fit twice.
+/// Maximum size in bytes of a list of keys, changes or hosts. A list of several thousand hosts with
+/// long names takes up half of it.
 const MAX_ANSWER_LEN: usize = 4 << 20;
 
-/// The platform behind an HTTP address.
+/// The platform at an HTTP address.
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     base: String,
 }
 
 impl HttpStore {
-    /// A store at `base`, such as `http://127.0.0.1:7000`.
+    /// Creates a client for the base URL `base`, such as `http://127.0.0.1:7000`.
     pub fn new(base: impl Into<String>) -> HttpStore {
         HttpStore { base: base.into() }
     }
@@ -59,8 +61,8 @@
 
 impl ObjectStore for HttpStore {
     fn get(&self, key: &str) -> Result<Option<Object>> {
-        let request = minreq::get(self.object_url(key)).with_timeout(TIMEOUT_SECONDS);
-        let fetched = fetch(request, MAX_VALUE_LEN).map_err(read_error)?;
+        let request = minreq::get(self.object_url(key)).with_timeout(CALL_TIMEOUT_SECONDS);
+        let fetched = fetch(request, MAX_VALUE_LEN).map_err(platform_error)?;
         if fetched.status == 404 {
             return Ok(None);
         }
@@ -77,7 +79,7 @@
             return Err(PlatformError::TooLarge);
         }
         let request = minreq::put(self.object_url(key))
-            .with_timeout(TIMEOUT_SECONDS)
+            .with_timeout(CALL_TIMEOUT_SECONDS)
             .with_body(value.to_vec());
         let request = match expect {
             Expect::Absent => request.with_header("if-none-match", "*"),
@@ -88,28 +90,28 @@
 
     fn delete(&self, key: &str, revision: Revision) -> Result<()> {
         let request = minreq::delete(self.object_url(key))
-            .with_timeout(TIMEOUT_SECONDS)
+            .with_timeout(CALL_TIMEOUT_SECONDS)
             .with_header("if-match", revision.0.to_string());
         send(request).map(drop)
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<(SmolStr, Revision)>> {
-        self.get_json(&format!("/v1/list?prefix={prefix}"), TIMEOUT_SECONDS)
+        self.get_json(&format!("/v1/list?prefix={prefix}"), CALL_TIMEOUT_SECONDS)
     }
 
     fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Changes> {
         let path =
             format!("/v1/watch?prefix={prefix}&after={}&wait_ms={}", after.0, wait.as_millis());
-        self.get_json(&path, wait.as_secs() + TIMEOUT_SECONDS)
+        self.get_json(&path, wait.as_secs() + CALL_TIMEOUT_SECONDS)
     }
 
     fn hosts(&self) -> Result<Vec<ListedHost>> {
-        self.get_json("/v1/hosts", TIMEOUT_SECONDS)
+        self.get_json("/v1/hosts", CALL_TIMEOUT_SECONDS)
     }
 }
 
 fn send(request: minreq::Request) -> Result<Fetched> {
-    let fetched = fetch(request, MAX_ANSWER_LEN).map_err(read_error)?;
+    let fetched = fetch(request, MAX_ANSWER_LEN).map_err(platform_error)?;
     check_status(&fetched)?;
     Ok(fetched)
 }
@@ -126,9 +128,9 @@
     }
 }
 
-/// Only a refused connection proves that nothing was written; a reset or a timeout may come after
-/// the write took effect.
-fn read_error(error: FetchError) -> PlatformError {
+/// Only a refused connection proves that nothing was written. A reset or a timeout can follow a
+/// write that took effect.
+fn platform_error(error: FetchError) -> PlatformError {
     match error {
         FetchError::Refused => PlatformError::Down,
         FetchError::Broken => PlatformError::Unknown,
--- a/node/src/lease_keeper.rs
+++ b/node/src/lease_keeper.rs
@@ -1,4 +1,4 @@
-//! Keeps a lease on the platform: carries out what [`Lease`] decides.
+//! Acquires and renews a lease on the platform by carrying out the steps of [`Lease`].
 
 use mastichaven_core::ids::HostName;
 use mastichaven_core::ids::Incarnation;
@@ -10,13 +10,14 @@
 
 use crate::clock::Clock;
 
-/// The object of the planner's lease.
+/// Key of the lease of the planner.
 pub const PLANNER_LEASE_KEY: &str = "lease/planner";
 
-/// Calls to the platform in one tick at most: a lost answer needs a read, a takeover a write.
-const STEPS_A_TICK: u32 = 3;
+/// Maximum number of calls to the platform in one tick. A lost answer is resolved by a read, and an
+/// expired lease is acquired by a read and a write.
+const MAX_STEPS_PER_TICK: u32 = 3;
 
-/// One process's hold on one lease.
+/// Keeps one lease for one process.
 #[derive(Debug)]
 pub struct LeaseKeeper {
     key: &'static str,
@@ -25,7 +26,7 @@
 }
 
 impl LeaseKeeper {
-    /// A keeper that has not read the lease yet.
+    /// Creates a keeper for the lease object `key`. The first [`LeaseKeeper::tick`] reads it.
     pub fn new(
         key: &'static str,
         host: HostName,
@@ -36,10 +37,10 @@
         LeaseKeeper { key, lease: Lease::new(host, incarnation, timing), clock }
     }
 
-    /// Reads, takes or renews the lease if that is due. Call a few times a second; it seldom
-    /// calls the platform.
+    /// Reads, acquires or renews the lease if that is due. Call it several times a second; few of
+    /// the calls reach the platform.
     pub fn tick(&mut self, store: &dyn ObjectStore) {
-        for _ in 0..STEPS_A_TICK {
+        for _ in 0..MAX_STEPS_PER_TICK {
             match self.lease.next_step(self.clock.now()) {
                 LeaseStep::Idle => return,
                 LeaseStep::Read => {
@@ -57,17 +58,19 @@
         }
     }
 
-    /// The token if the lease is held now; ask right before each act under it.
+    /// Returns the token if the lease is held now. Check it right before each action under the
+    /// lease.
     pub fn token(&self) -> Option<LeaseToken> {
         self.lease.token(self.clock.now())
     }
 
-    /// Who held the lease when it was last read.
+    /// Host of the holder as last read or written; `None` if it is unknown or the lease was
+    /// released.
     pub fn holder(&self) -> Option<&HostName> {
         self.lease.holder()
     }
 
-    /// Gives the lease up if it is held.
+    /// Releases the lease if it is held, so that another process can acquire it at once.
     pub fn release(&mut self, store: &dyn ObjectStore) {
         if let LeaseStep::Write { value, expect } = self.lease.release(self.clock.now()) {
             self.lease.on_written(store.put(self.key, value, expect));
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -11,7 +11,7 @@
 //! # Ok::<(), mastichaven_node::tls::TlsError>(())
 //! ```
 
-pub mod accepted;
+pub mod accepted_config;
 pub mod agent;
 pub mod callers;
 pub mod clock;
--- a/node/src/platform_watch.rs
+++ b/node/src/platform_watch.rs
@@ -1,9 +1,10 @@
-//! The thread that calls the platform for control.
+//! The thread that calls the platform on behalf of the control thread.
 //!
-//! On the relays of a zone it watches the accepted configuration and the plans, reads the list of
-//! hosts, and writes the zone's status. On all others it is silent once a peer is known: calls to
-//! the platform must not grow with the processes of a zone. A process that knows nobody reads the
-//! list of hosts, and what is accepted, to find its first peer.
+//! On the relays of a zone it watches the accepted configuration and the plans; the first relay
+//! also reads the host list and writes the status of the zone. On all other processes it makes no
+//! calls once there is a peer, because the number of calls to the platform must not grow with the
+//! number of processes in a zone. A process without peers reads the host list to find one, and the
+//! accepted configuration.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -36,174 +37,176 @@
 use rand::RngExt;
 use smol_str::SmolStr;
 
-use crate::accepted;
-use crate::control::Controlled;
+use crate::accepted_config;
+use crate::control::ControlNode;
 use crate::status;
 use crate::status::ZoneStatus;
 
-/// How long a watch waits; hosts are read and status is written in between.
-const WATCH: Duration = Duration::from_secs(4);
+/// Maximum wait of one watch call. Hosts are read and status is written between two calls.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Everything is listed again this often, in case the watch missed something.
+/// Interval at which all documents are listed again, in case the watch missed a change.
 const LIST_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Status is written this often by the first relay of a zone.
+/// Minimum interval between writes of the status by the first relay of a zone.
 const STATUS_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How often a process that is no relay looks whether it has become one.
-const IDLE: Duration = Duration::from_millis(500);
+/// Interval at which other processes check whether they have become a relay, and mean delay after a
+/// failed call.
+const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a process that knows nobody waits before it reads the list of hosts, at first and at
-/// most. It doubles, so that a fleet that starts while the platform is slow does not press it.
-const FIRST_LOOK: Duration = Duration::from_millis(500);
-const MAX_LOOK: Duration = Duration::from_secs(5);
+/// Bounds of the delay between reads of the host list by a process without peers. The delay doubles
+/// each time, so that a fleet that starts while the platform is slow does not overload it.
+const MIN_DISCOVERY_DELAY: Duration = Duration::from_millis(500);
+const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(5);
 
-/// Peers that a process on its own greets from the list.
-const MAX_HINTS: usize = 16;
+/// Maximum number of listed hosts that a process without peers contacts.
+const MAX_CONTACTS: usize = 16;
 
-/// How long a survey of the zone may take.
+/// Timeout of a survey of the zone.
 const SURVEY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long an agent may take to note that its host leaves.
-const NOTE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of notifying an agent that its host is leaving.
+const LEAVING_NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Starts the thread.
-pub fn start<N: Controlled>(node: &Arc<N>, store: Arc<dyn ObjectStore>) -> thread::JoinHandle<()> {
+/// Starts the thread; it ends with the process.
+pub fn start<N: ControlNode>(node: &Arc<N>, store: Arc<dyn ObjectStore>) -> thread::JoinHandle<()> {
     let node = node.clone();
-    let run = move || Watch::new(node, store).run();
+    let run = move || PlatformWatch::new(node, store).run();
     thread::Builder::new()
         .name("platform".to_owned())
         .spawn(run)
         .expect("the system gives a thread")
 }
 
-struct Watch<N> {
+struct PlatformWatch<N> {
     node: Arc<N>,
     store: Arc<dyn ObjectStore>,
-    /// The revision to watch after; everything is listed again when there is none.
+    /// Revision after which to watch; `None` if all documents must be listed first.
     after: Option<Revision>,
     listed_at: Time,
-    status_at: Time,
-    look_at: Time,
-    look: Duration,
-    told_leaving: HashSet<HostName>,
+    status_written_at: Time,
+    next_discovery: Time,
+    discovery_delay: Duration,
+    notified_leaving: HashSet<HostName>,
 }
 
-impl<N: Controlled> Watch<N> {
-    fn new(node: Arc<N>, store: Arc<dyn ObjectStore>) -> Watch<N> {
-        Watch {
+impl<N: ControlNode> PlatformWatch<N> {
+    fn new(node: Arc<N>, store: Arc<dyn ObjectStore>) -> PlatformWatch<N> {
+        PlatformWatch {
             node,
             store,
             after: None,
             listed_at: Time::ZERO,
-            status_at: Time::ZERO,
-            look_at: Time::ZERO,
-            look: FIRST_LOOK,
-            told_leaving: HashSet::new(),
+            status_written_at: Time::ZERO,
+            next_discovery: Time::ZERO,
+            discovery_delay: MIN_DISCOVERY_DELAY,
+            notified_leaving: HashSet::new(),
         }
     }
 
     fn run(mut self) {
         if self.node.member().role == HostRole::Entry {
-            let _ = self.list();
+            let _ = self.list_documents();
         }
         while !self.node.is_over() {
-            if self.node.control().alive() == 0 {
-                self.look_for_peers();
+            if self.node.control().alive_peers() == 0 {
+                self.discover_peers();
             }
             match self.node.control().relay_rank() {
-                Some(rank) if self.node.member().role == HostRole::Entry => self.relay(rank),
+                Some(rank) if self.node.member().role == HostRole::Entry => self.run_as_relay(rank),
                 _ => {
                     self.after = None;
-                    thread::sleep(IDLE);
+                    thread::sleep(RELAY_CHECK_INTERVAL);
                 }
             }
         }
     }
 
-    /// Alone, the list of hosts is the only way to a peer. An agent also reads what is accepted,
-    /// because it may stay alone.
-    fn look_for_peers(&mut self) {
+    /// Contacts hosts of the host list. From the second attempt on, it also reads the documents
+    /// from the platform, because a process may remain without peers.
+    fn discover_peers(&mut self) {
         let now = self.node.clock().now();
-        if now < self.look_at {
+        if now < self.next_discovery {
             return;
         }
         let jitter = rand::rng().random_range(0.5..1.5);
-        self.look_at = now + self.look.mul_f64(jitter);
-        self.look = (self.look * 2).min(MAX_LOOK);
+        self.next_discovery = now + self.discovery_delay.mul_f64(jitter);
+        self.discovery_delay = (self.discovery_delay * 2).min(MAX_DISCOVERY_DELAY);
         let Ok(hosts) = self.store.hosts() else {
             return;
         };
-        self.node.control().hint(self.nearest(&hosts));
-        if now.as_millis() > 0 && self.look > FIRST_LOOK * 2 {
-            let _ = self.list();
+        self.node.control().set_contacts(self.choose_contacts(&hosts));
+        if now.as_millis() > 0 && self.discovery_delay > MIN_DISCOVERY_DELAY * 2 {
+            let _ = self.list_documents();
         }
     }
 
-    /// A few hosts of the list to greet: entries of this zone, then other entries, then agents.
-    fn nearest(&self, hosts: &[ListedHost]) -> Vec<SocketAddr> {
+    /// Up to [`MAX_CONTACTS`] listed hosts: entries of this zone, then other entries, then agents.
+    fn choose_contacts(&self, hosts: &[ListedHost]) -> Vec<SocketAddr> {
         let me = self.node.member();
         let others = hosts.iter().filter(|listed| listed.name != me.host && !listed.leaving);
         let mut others: Vec<&ListedHost> = others.collect();
         others.sort_by_cached_key(|listed| {
-            let far = listed.zone != me.zone;
-            (listed.role != HostRole::Entry, far, rand::random::<u32>())
+            let other_zone = listed.zone != me.zone;
+            (listed.role != HostRole::Entry, other_zone, rand::random::<u32>())
         });
-        others.into_iter().take(MAX_HINTS).map(|listed| listed.address).collect()
+        others.into_iter().take(MAX_CONTACTS).map(|listed| listed.address).collect()
     }
 
-    fn relay(&mut self, rank: u32) {
+    fn run_as_relay(&mut self, rank: u32) {
         let now = self.node.clock().now();
         let due = self.after.is_none() || now.passed(self.listed_at, LIST_INTERVAL);
-        let result = if due { self.list() } else { self.watch() };
+        let result = if due { self.list_documents() } else { self.watch_documents() };
         if result.is_err() {
             self.after = None;
-            let pause = IDLE.mul_f64(rand::rng().random_range(0.5..1.5));
+            let pause = RELAY_CHECK_INTERVAL.mul_f64(rand::rng().random_range(0.5..1.5));
             return thread::sleep(pause);
         }
-        if rank == 0 && now.passed(self.status_at, STATUS_INTERVAL) {
-            self.status_at = now;
-            self.read_hosts();
-            let _ = status::write(&*self.store, &self.status());
+        if rank == 0 && now.passed(self.status_written_at, STATUS_INTERVAL) {
+            self.status_written_at = now;
+            self.refresh_hosts();
+            let _ = status::write(&*self.store, &self.zone_status());
         }
     }
 
-    fn list(&mut self) -> platform::Result<()> {
+    fn list_documents(&mut self) -> platform::Result<()> {
         let keys = self.store.list(SPREAD_PREFIX)?;
         let newest = keys.iter().map(|(_, revision)| *revision).max().unwrap_or_default();
-        self.take_in(keys)?;
+        self.apply_newer(keys)?;
         self.after = Some(newest);
         self.listed_at = self.node.clock().now();
         Ok(())
     }
 
-    fn watch(&mut self) -> platform::Result<()> {
+    fn watch_documents(&mut self) -> platform::Result<()> {
         let after = self.after.unwrap_or_default();
-        let changes = match self.store.watch(SPREAD_PREFIX, after, WATCH) {
+        let changes = match self.store.watch(SPREAD_PREFIX, after, WATCH_TIMEOUT) {
             Ok(changes) => changes,
-            // The history is gone: what is there now is all that matters.
-            Err(PlatformError::Compacted) => return self.list(),
+            // The changes are no longer retained; the current documents are sufficient.
+            Err(PlatformError::Compacted) => return self.list_documents(),
             Err(error) => return Err(error),
         };
         let mut keys: BTreeMap<SmolStr, Revision> = BTreeMap::new();
         for change in changes.changes.into_iter().filter(|change| !change.deleted) {
             keys.insert(change.key, change.revision);
         }
-        self.take_in(keys.into_iter().collect())?;
+        self.apply_newer(keys.into_iter().collect())?;
         self.after = Some(changes.revision);
         Ok(())
     }
 
-    /// Reads what is newer on the platform than here, and has it passed on.
-    fn take_in(&mut self, keys: Vec<(SmolStr, Revision)>) -> platform::Result<()> {
+    /// Reads the documents among `keys` that are newer on the platform, puts them in force and
+    /// reports them to the control thread, which forwards them.
+    fn apply_newer(&mut self, keys: Vec<(SmolStr, Revision)>) -> platform::Result<()> {
         let documents = self.node.documents();
         let before = documents.generation();
         let known: BTreeMap<SmolStr, u64> = documents.revisions().into_iter().collect();
-        let mut learned = Vec::new();
+        let mut changed_keys = Vec::new();
         for (key, revision) in keys {
             if key == HEAD_KEY {
-                let taken = accepted::take_in(&*self.store, documents);
-                taken.map_err(|_| PlatformError::Unknown)?;
+                let applied = accepted_config::apply_latest(&*self.store, documents);
+                applied.map_err(|_| PlatformError::Unknown)?;
                 continue;
             }
             if known.get(&key).is_some_and(|known| *known >= revision.0) {
@@ -212,52 +215,57 @@
             if let Some(object) = self.store.get(&key)? {
                 let doc =
                     Doc { key: key.clone(), revision: object.revision.0, bytes: object.value };
-                if documents.offer(doc) {
-                    learned.push(key);
+                if documents.insert_plan(doc) {
+                    changed_keys.push(key);
                 }
             }
         }
-        if documents.generation() > before || !learned.is_empty() {
-            self.node.control().learned(before, learned);
+        if documents.generation() > before || !changed_keys.is_empty() {
+            self.node.control().notify_platform_update(before, changed_keys);
         }
         Ok(())
     }
 
-    fn read_hosts(&mut self) {
+    fn refresh_hosts(&mut self) {
         let Ok(hosts) = self.store.hosts() else {
             return;
         };
-        self.node.control().hint(hosts.iter().map(|listed| listed.address).collect());
-        self.tell_leaving(&hosts);
+        self.node.control().set_contacts(hosts.iter().map(|listed| listed.address).collect());
+        self.notify_leaving_agents(&hosts);
     }
 
-    /// Tells agents of this zone whose host the platform is about to take away, and takes that
-    /// back when the platform does.
-    fn tell_leaving(&mut self, hosts: &[ListedHost]) {
+    /// Notifies the agents of this zone when the platform starts or stops listing their host as
+    /// leaving. A notice that is not acknowledged is repeated with the next host list.
+    fn notify_leaving_agents(&mut self, hosts: &[ListedHost]) {
         let zone = self.node.member().zone;
         let agents = hosts.iter().filter(|h| h.zone == zone && h.role == HostRole::Agent);
         for listed in agents {
-            if listed.leaving == self.told_leaving.contains(&listed.name) {
+            if listed.leaving == self.notified_leaving.contains(&listed.name) {
                 continue;
             }
-            let ask =
-                self.node.ask(RequestBody::Members(MembersRequest::HostLeaving(listed.leaving)));
-            let noted = self.node.transport().ask_one(listed.address, &ask, NOTE_TIMEOUT).is_ok();
-            if noted && listed.leaving {
-                self.told_leaving.insert(listed.name.clone());
-            } else if noted {
-                self.told_leaving.remove(&listed.name);
+            let request = self
+                .node
+                .make_request(RequestBody::Members(MembersRequest::HostLeaving(listed.leaving)));
+            let acknowledged = self
+                .node
+                .transport()
+                .ask_one(listed.address, &request, LEAVING_NOTICE_TIMEOUT)
+                .is_ok();
+            if acknowledged && listed.leaving {
+                self.notified_leaving.insert(listed.name.clone());
+            } else if acknowledged {
+                self.notified_leaving.remove(&listed.name);
             }
         }
     }
 
-    fn status(&self) -> ZoneStatus {
+    fn zone_status(&self) -> ZoneStatus {
         let me = self.node.member();
         let members = self.node.control().members();
-        let of_zone: Vec<&Member> = members.iter().filter(|m| m.zone == me.zone).collect();
-        let count = |role| of_zone.iter().filter(|member| member.role == role).count() as u32;
+        let zone_members: Vec<&Member> = members.iter().filter(|m| m.zone == me.zone).collect();
+        let count = |role| zone_members.iter().filter(|member| member.role == role).count() as u32;
         let mut ready = BTreeMap::new();
-        for member in of_zone.iter().filter(|member| !member.leaving) {
+        for member in zone_members.iter().filter(|member| !member.leaving) {
             if let Serving::Model { model, version, .. } = &member.serving {
                 *ready.entry(SmolStr::new(format!("{model}@{version}"))).or_default() += 1;
             }
@@ -268,25 +276,25 @@
             relay: me.host.clone(),
             unix_seconds: now.as_secs(),
             generation: self.node.documents().generation(),
-            survey: self.survey(&me),
+            survey: self.survey_zone(&me),
             entries: count(HostRole::Entry),
             agents: count(HostRole::Agent),
             ready,
-            held_up: self.held_up(&of_zone, &me),
+            held_up: self.held_up_reasons(&zone_members, &me),
         }
     }
 
-    fn survey(&self, me: &Member) -> Survey {
-        let ask = self.node.ask(RequestBody::Spread(SpreadRequest::Survey));
-        let reply = self.node.transport().ask_one(me.address, &ask, SURVEY_TIMEOUT);
+    fn survey_zone(&self, me: &Member) -> Survey {
+        let request = self.node.make_request(RequestBody::Spread(SpreadRequest::Survey));
+        let reply = self.node.transport().ask_one(me.address, &request, SURVEY_TIMEOUT);
         match reply.map(|reply| reply.body) {
             Ok(ReplyBody::Spread(SpreadReply::Survey(survey))) => survey,
             _ => Survey::of(self.node.documents().generation()),
         }
     }
 
-    /// Hosts that a plan wants ready in this zone and that are not, with the reason.
-    fn held_up(&self, of_zone: &[&Member], me: &Member) -> Vec<String> {
+    /// Reasons why planned replicas of this zone are not ready, at most [`MAX_REASONS`].
+    fn held_up_reasons(&self, zone_members: &[&Member], me: &Member) -> Vec<String> {
         let documents = self.node.documents();
         let in_force = documents.in_force();
         let mut reasons = Vec::new();
@@ -298,7 +306,9 @@
                 }
                 continue;
             };
-            for member in of_zone.iter().filter(|member| plan.version_for(&member.host).is_some()) {
+            for member in
+                zone_members.iter().filter(|member| plan.version_for(&member.host).is_some())
+            {
                 let wanted = plan.version_for(&member.host);
                 let reason = match &member.serving {
                     Serving::Model { version, .. } if Some(*version) == wanted => continue,
@@ -317,5 +327,5 @@
     }
 }
 
-/// Reasons in one status object at most.
+/// Maximum number of reasons in one status object.
 const MAX_REASONS: usize = 64;
--- a/node/src/publish.rs
+++ b/node/src/publish.rs
@@ -1,8 +1,9 @@
-//! From a folder of files to an accepted configuration on the platform.
+//! Publishes a folder of files as the accepted configuration on the platform.
 //!
-//! Parts and list are written first, under keys that nobody reads yet; the conditional update of
-//! one object, the head, then accepts all of it or nothing. Publishers that race are put together
-//! file by file against what each last saw accepted.
+//! Parts and file list are written first, under keys that nothing refers to yet. The conditional
+//! update of a single object, the head, then accepts all of them atomically. Changes of concurrent
+//! publishers are merged file by file, with the configuration that each last saw accepted as the
+//! merge base.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -40,43 +41,45 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-use crate::accepted;
+use crate::accepted_config;
 
-/// Result of publishing.
+/// Result of checking or publishing a folder.
 pub type Result<T> = std::result::Result<T, PublishError>;
 
-/// The file beside the configuration that remembers what the publisher last saw accepted.
+/// Name of the base file in the folder, which records the content that was last published from it.
 pub const BASE_FILE: &str = ".mastichaven-base";
 
-/// Attempts against other publishers, and against lost answers.
+/// Maximum number of attempts if other publishers interfere or answers are lost.
 const MAX_ATTEMPTS: u32 = 16;
 
-/// Objects of replaced generations are kept for this many generations, for slow readers.
+/// Number of generations for which replaced objects are kept for slow readers.
 const KEPT_GENERATIONS: usize = 16;
 
-/// Why a folder is not accepted.
+/// Reason why a folder was not checked or published.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PublishError {
-    /// The files are wrong; every problem found.
+    /// The files are invalid; holds all problems found.
     Problems(Vec<Problem>),
-    /// Other publishers changed these files differently since the base.
-    Clash(Vec<SmolStr>),
-    /// The folder declares nothing.
+    /// Another publisher has changed these files in another way since the base.
+    Conflict(Vec<SmolStr>),
+    /// The folder or the merged configuration defines nothing, and [`Options::allow_empty`] is not
+    /// set.
     Empty,
-    /// The folder or its base cannot be read or written.
+    /// A file of the folder, or its base file, cannot be read or written; the second field has the
+    /// details.
     Unreadable(PathBuf, String),
-    /// The platform refused.
+    /// A call to the platform failed, or all attempts met other publishers.
     Platform(Code),
 }
 
 impl PublishError {
-    /// The numbered code of this error.
+    /// The numbered code of this error; for [`PublishError::Problems`] that of the first problem.
     pub fn code(&self) -> Code {
         match self {
             PublishError::Problems(problems) => {
                 problems.first().map_or(Code::BadValue, |problem| problem.code)
             }
-            PublishError::Clash(_) => Code::PublishConflict,
+            PublishError::Conflict(_) => Code::PublishConflict,
             PublishError::Empty => Code::EmptyFolder,
             PublishError::Unreadable(..) => Code::Unreadable,
             PublishError::Platform(code) => *code,
@@ -91,11 +94,11 @@
                 for problem in problems {
                     writeln!(f, "{problem}")?;
                 }
-                write!(f, "{} problems; what was accepted before stands", problems.len())
+                write!(f, "{} problems; the accepted configuration is unchanged", problems.len())
             }
-            PublishError::Clash(files) => write!(
+            PublishError::Conflict(files) => write!(
                 f,
-                "{}: {}; read what is accepted, put both together, and publish with --base accepted",
+                "{}: {}; merge the accepted files into the folder and publish with --base accepted",
                 self.code(),
                 files.join(", ")
             ),
@@ -113,35 +116,36 @@
     }
 }
 
-/// The texts of a folder by file name.
-pub type Texts = BTreeMap<SmolStr, Bytes>;
+/// Contents of the files of a folder by file name.
+pub type FileContents = BTreeMap<SmolStr, Bytes>;
 
-/// What the publisher last saw accepted.
+/// Merge base: the configuration that the publisher last saw accepted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Base {
-    /// Nothing is known: a file that is accepted with another content is a clash.
+    /// Unknown: an accepted file whose content differs from the folder is a conflict.
     Unknown,
-    /// These files.
+    /// A configuration of these files.
     Files(FileParts),
-    /// Whatever is accepted when publishing starts: the folder replaces it.
+    /// The configuration accepted when publishing starts; the folder replaces it.
     Accepted,
 }
 
-/// How to publish.
+/// Options of [`publish`].
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// What the publisher last saw accepted.
+    /// Merge base.
     pub base: Base,
-    /// Whether a folder that declares nothing may be published.
+    /// Whether a folder without any definition may be published.
     pub allow_empty: bool,
-    /// Tells this publisher's writes from others'; drawn at random.
+    /// Random number that identifies the receipt of this publisher after a lost answer.
     pub publisher: u64,
-    /// The wall clock in seconds.
+    /// Wall clock in Unix seconds.
     pub unix_seconds: u64,
 }
 
 impl Options {
-    /// Options of a new publisher with the present wall clock.
+    /// Creates options with a new publisher number and the current wall clock; empty folders are
+    /// refused.
     pub fn new(base: Base) -> Options {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let publisher = rand::random();
@@ -149,14 +153,14 @@
     }
 }
 
-/// An accepted generation.
+/// Result of a successful [`publish`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Accepted {
-    /// Its number.
+    /// Accepted generation.
     pub generation: Generation,
-    /// Whether this publishing changed anything.
+    /// Whether the call created the generation; `false` if the folder was already accepted.
     pub changed: bool,
-    /// Its files.
+    /// Files of the generation, including those of other publishers.
     pub files: FileParts,
 }
 
@@ -167,11 +171,11 @@
     }
 }
 
-/// Reads the `.toml` files of `folder`.
-pub fn read_folder(folder: &Path) -> Result<Texts> {
+/// Reads the `.toml` files of `folder`, without those whose name starts with a dot.
+pub fn read_folder(folder: &Path) -> Result<FileContents> {
     let unreadable =
         |path: &Path, e: std::io::Error| PublishError::Unreadable(path.into(), e.to_string());
-    let mut texts = Texts::new();
+    let mut contents = FileContents::new();
     for entry in fs::read_dir(folder).map_err(|e| unreadable(folder, e))? {
         let path = entry.map_err(|e| unreadable(folder, e))?.path();
         let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default();
@@ -179,26 +183,26 @@
             continue;
         }
         let text = fs::read(&path).map_err(|e| unreadable(&path, e))?;
-        texts.insert(name.into(), Bytes::from(text));
+        contents.insert(name.into(), Bytes::from(text));
     }
-    Ok(texts)
+    Ok(contents)
 }
 
-/// Merges and checks a folder; everything that is wrong is reported at once.
-pub fn check(texts: &Texts) -> Result<Config> {
+/// Merges and checks the files of a folder. An error holds all problems of all files.
+pub fn check(contents: &FileContents) -> Result<Config> {
     let mut files = Vec::new();
     let mut problems = Vec::new();
-    for (name, bytes) in texts {
+    for (name, bytes) in contents {
         let text = String::from_utf8_lossy(bytes);
         if let Err(error) = std::str::from_utf8(bytes) {
-            problems.push(not_text(name, bytes, error.valid_up_to()));
+            problems.push(not_utf8_problem(name, bytes, error.valid_up_to()));
         }
         let (parsed, found) = folder::parse(name, &text);
         problems.extend(found);
         files.push((name.clone(), Arc::new(parsed)));
     }
     if files.len() > folder::MAX_FILES {
-        problems.push(too_many_files(files.len()));
+        problems.push(too_many_files_problem(files.len()));
     }
     let (merged, found) = check::merge(&files);
     problems.extend(found);
@@ -206,7 +210,7 @@
     if problems.is_empty() { Ok(merged.config) } else { Err(PublishError::Problems(problems)) }
 }
 
-fn not_text(file: &SmolStr, bytes: &Bytes, at: usize) -> Problem {
+fn not_utf8_problem(file: &SmolStr, bytes: &Bytes, at: usize) -> Problem {
     Problem {
         file: file.clone(),
         line: 1 + bytes[..at].iter().filter(|b| **b == b'\n').count(),
@@ -217,7 +221,7 @@
     }
 }
 
-fn too_many_files(count: usize) -> Problem {
+fn too_many_files_problem(count: usize) -> Problem {
     Problem {
         file: ".".into(),
         line: 0,
@@ -228,109 +232,124 @@
     }
 }
 
-/// Whether a folder declares nothing.
-pub fn is_empty(texts: &Texts) -> bool {
+/// Whether no file of the folder has a definition.
+pub fn is_empty(contents: &FileContents) -> bool {
     let declares_nothing = |(name, bytes): (&SmolStr, &Bytes)| {
         folder::parse(name, &String::from_utf8_lossy(bytes)).0.is_empty()
     };
-    texts.iter().all(declares_nothing)
+    contents.iter().all(declares_nothing)
 }
 
-/// Publishes a folder.
-pub fn publish(store: &dyn ObjectStore, texts: &Texts, options: &Options) -> Result<Accepted> {
-    if is_empty(texts) && !options.allow_empty {
+/// Publishes the files of a folder and returns the accepted generation.
+pub fn publish(
+    store: &dyn ObjectStore,
+    contents: &FileContents,
+    options: &Options,
+) -> Result<Accepted> {
+    if is_empty(contents) && !options.allow_empty {
         return Err(PublishError::Empty);
     }
-    let mine = Cut::of(texts);
+    let mine = SplitFiles::of(contents);
     let mut base = options.base.clone();
     for _ in 0..MAX_ATTEMPTS {
-        let now = Now::read(store)?;
-        if let Some(generation) = now.head.as_ref().and_then(|head| head.receipt(options.publisher))
+        let current = AcceptedState::read(store)?;
+        if let Some(generation) =
+            current.head.as_ref().and_then(|head| head.receipt(options.publisher))
         {
-            return Ok(Accepted { generation, changed: true, files: now.list.parts() });
+            return Ok(Accepted { generation, changed: true, files: current.list.parts() });
         }
         if base == Base::Accepted {
-            base = Base::Files(now.list.parts());
+            base = Base::Files(current.list.parts());
         }
-        // When the head is gone, everything would look as if others had removed it.
-        let known = match &base {
-            Base::Files(files) if now.head.is_some() => files.clone(),
+        // Without a head, each file of the base would look as if others had removed it.
+        let merge_base = match &base {
+            Base::Files(files) if current.head.is_some() => files.clone(),
             Base::Files(_) | Base::Unknown | Base::Accepted => FileParts::new(),
         };
-        let theirs = now.list.parts();
-        let files = generation::three_way_merge(&known, &mine.files, &theirs)
-            .map_err(PublishError::Clash)?;
-        if let Some(head) = now.head.as_ref().filter(|_| files == theirs) {
+        let theirs = current.list.parts();
+        let files = generation::three_way_merge(&merge_base, &mine.files, &theirs)
+            .map_err(PublishError::Conflict)?;
+        if let Some(head) = current.head.as_ref().filter(|_| files == theirs) {
             return Ok(Accepted { generation: head.generation, changed: false, files });
         }
-        let joined = join(store, &now.list, &mine, &files)?;
-        check(&joined)?;
-        if is_empty(&joined) && !options.allow_empty {
+        let merged_contents = assemble_files(store, &current.list, &mine, &files)?;
+        check(&merged_contents)?;
+        if is_empty(&merged_contents) && !options.allow_empty {
             return Err(PublishError::Empty);
         }
-        match write(store, &now, &mine, &files, options)? {
-            Written::Accepted(generation) => {
+        match write_generation(store, &current, &mine, &files, options)? {
+            WriteOutcome::Accepted(generation) => {
                 return Ok(Accepted { generation, changed: true, files });
             }
-            // Another publisher was first, or the answer was lost: what is accepted tells.
-            Written::Again => {}
+            // Another publisher was first, or the answer was lost; the accepted head shows which.
+            WriteOutcome::Retry => {}
         }
     }
     Err(PublishError::Platform(Code::PlatformConflict))
 }
 
-/// Publishes `config` as a folder of one file that replaces whatever is accepted.
+/// Publishes `config` as a folder with a single file, which replaces the accepted configuration.
 pub fn publish_config(store: &dyn ObjectStore, config: &Config) -> Result<Generation> {
     let text = toml::to_string(config).expect("a configuration always encodes");
-    let texts = Texts::from([("config.toml".into(), Bytes::from(text))]);
-    publish(store, &texts, &Options::new(Base::Accepted)).map(|accepted| accepted.generation)
+    let contents = FileContents::from([("config.toml".into(), Bytes::from(text))]);
+    publish(store, &contents, &Options::new(Base::Accepted)).map(|accepted| accepted.generation)
 }
 
-/// A folder cut into parts.
-struct Cut {
+/// Files of a folder, split into parts of at most [`MAX_PART_LEN`] bytes.
+struct SplitFiles {
     files: FileParts,
     parts: BTreeMap<Digest, Bytes>,
 }
 
-impl Cut {
-    fn of(texts: &Texts) -> Cut {
-        let mut cut = Cut { files: FileParts::new(), parts: BTreeMap::new() };
-        for (name, bytes) in texts {
+impl SplitFiles {
+    fn of(contents: &FileContents) -> SplitFiles {
+        let mut split = SplitFiles { files: FileParts::new(), parts: BTreeMap::new() };
+        for (name, bytes) in contents {
             let mut digests = Vec::new();
             for start in (0..bytes.len()).step_by(MAX_PART_LEN) {
                 let part = bytes.slice(start..bytes.len().min(start + MAX_PART_LEN));
                 let digest = Digest::of(&part);
                 digests.push(digest);
-                cut.parts.insert(digest, part);
+                split.parts.insert(digest, part);
             }
-            cut.files.insert(name.clone(), digests);
+            split.files.insert(name.clone(), digests);
         }
-        cut
+        split
     }
 }
 
-/// What is accepted at present.
-struct Now {
+/// The accepted configuration as read from the platform.
+struct AcceptedState {
     revision: Option<Revision>,
     head: Option<Head>,
     list: FileList,
-    /// The highest generation known from anywhere, also when the head is gone.
+    /// Highest known generation: that of the head or, if there is none, of the status objects.
     highest: Generation,
 }
 
-impl Now {
-    fn read(store: &dyn ObjectStore) -> Result<Now> {
+impl AcceptedState {
+    fn read(store: &dyn ObjectStore) -> Result<AcceptedState> {
         for _ in 0..MAX_ATTEMPTS {
-            let Some((revision, head)) = accepted::read_head(store)? else {
+            let Some((revision, head)) = accepted_config::read_head(store)? else {
                 let highest = crate::status::highest_generation(store)?;
-                return Ok(Now { revision: None, head: None, list: FileList::default(), highest });
+                return Ok(AcceptedState {
+                    revision: None,
+                    head: None,
+                    list: FileList::default(),
+                    highest,
+                });
             };
-            match accepted::read_list(store, &head) {
+            match accepted_config::read_list(store, &head) {
                 Ok(list) => {
                     let highest = head.generation;
-                    return Ok(Now { revision: Some(revision), head: Some(head), list, highest });
+                    return Ok(AcceptedState {
+                        revision: Some(revision),
+                        head: Some(head),
+                        list,
+                        highest,
+                    });
                 }
-                // The list was replaced between the two reads.
+                // The list was deleted between the two reads.
                 Err(Code::WatchGap) => {}
                 Err(code) => return Err(code.into()),
             }
@@ -339,25 +358,25 @@
     }
 }
 
-enum Written {
+enum WriteOutcome {
     Accepted(Generation),
-    Again,
+    Retry,
 }
 
-fn write(
+fn write_generation(
     store: &dyn ObjectStore,
-    now: &Now,
-    mine: &Cut,
+    current: &AcceptedState,
+    mine: &SplitFiles,
     files: &FileParts,
     options: &Options,
-) -> Result<Written> {
-    let generation = generation::next_generation(now.highest, options.unix_seconds);
-    let list = now.list.with_files(files, generation);
+) -> Result<WriteOutcome> {
+    let generation = generation::next_generation(current.highest, options.unix_seconds);
+    let list = current.list.with_files(files, generation);
     for file in list.files().iter().filter(|file| file.changed_in == generation) {
         for digest in &file.parts {
-            // A part that only the other publisher has is accepted already, under its own key.
+            // A part that is not in this folder is already accepted, under its own key.
             if let Some(bytes) = mine.parts.get(digest) {
-                put_once(store, &part_key(generation, *digest), bytes)?;
+                put_immutable(store, &part_key(generation, *digest), bytes)?;
             }
         }
     }
@@ -366,19 +385,24 @@
     for start in (0..encoded.len()).step_by(MAX_PART_LEN) {
         let piece = encoded.slice(start..encoded.len().min(start + MAX_PART_LEN));
         let key = list_key(generation, Digest::of(&piece));
-        put_once(store, &key, &piece)?;
+        put_immutable(store, &key, &piece)?;
         keys.push(key);
     }
-    let mut head =
-        Head::accept(now.head.as_ref(), &list, keys, options.publisher, unused(now, files));
-    let old = take_old(&mut head, &list);
-    let expect = now.revision.map_or(Expect::Absent, Expect::At);
+    let mut head = Head::accept(
+        current.head.as_ref(),
+        &list,
+        keys,
+        options.publisher,
+        newly_unused_keys(current, files),
+    );
+    let expired = take_expired_keys(&mut head, &list);
+    let expect = current.revision.map_or(Expect::Absent, Expect::At);
     match store.put(HEAD_KEY, Bytes::from(encode(&head)), expect) {
         Ok(_) => {
-            delete_all(store, &old);
-            Ok(Written::Accepted(generation))
+            delete_objects(store, &expired);
+            Ok(WriteOutcome::Accepted(generation))
         }
-        Err(PlatformError::Conflict | PlatformError::Unknown) => Ok(Written::Again),
+        Err(PlatformError::Conflict | PlatformError::Unknown) => Ok(WriteOutcome::Retry),
         Err(error) => Err(PublishError::Platform(error.code())),
     }
 }
@@ -387,9 +411,9 @@
     postcard::to_stdvec(value).expect("lists and heads always encode")
 }
 
-/// Writes an object that never changes. That it is there already, by a racing publisher or by a
-/// write whose answer was lost, is as good.
-fn put_once(store: &dyn ObjectStore, key: &str, value: &Bytes) -> Result<()> {
+/// Writes an object whose content never changes. If it already exists, because of a concurrent
+/// publisher or a write whose answer was lost, that is a success.
+fn put_immutable(store: &dyn ObjectStore, key: &str, value: &Bytes) -> Result<()> {
     match store.put(key, value.clone(), Expect::Absent) {
         Ok(_) | Err(PlatformError::Conflict) => Ok(()),
         Err(PlatformError::Unknown) => match store.put(key, value.clone(), Expect::Absent) {
@@ -400,10 +424,10 @@
     }
 }
 
-/// Keys of the present list and of files that the next list changes or drops.
-fn unused(now: &Now, files: &FileParts) -> Vec<SmolStr> {
-    let mut keys = now.head.as_ref().map_or(Vec::new(), |head| head.list.clone());
-    for file in now.list.files() {
+/// Keys of the accepted list, and of the parts of files that `files` changes or removes.
+fn newly_unused_keys(current: &AcceptedState, files: &FileParts) -> Vec<SmolStr> {
+    let mut keys = current.head.as_ref().map_or(Vec::new(), |head| head.list.clone());
+    for file in current.list.files() {
         if files.get(&file.name) != Some(&file.parts) {
             keys.extend(file.parts.iter().map(|digest| part_key(file.changed_in, *digest)));
         }
@@ -411,26 +435,27 @@
     keys
 }
 
-/// Takes out of the head what was replaced so long ago that no reader needs it any more.
-fn take_old(head: &mut Head, list: &FileList) -> Vec<SmolStr> {
+/// Removes the keys from `head` that were replaced more than [`KEPT_GENERATIONS`] generations ago,
+/// and returns those that `list` does not use.
+fn take_expired_keys(head: &mut Head, list: &FileList) -> Vec<SmolStr> {
     let Some(at) = head.receipts.len().checked_sub(KEPT_GENERATIONS) else {
         return Vec::new();
     };
     let limit = head.receipts[at].generation;
-    // Two files with the same bytes share a key; it is in use as long as one of them names it.
+    // Files with the same bytes share a key, which is in use as long as one of them refers to it.
     let keys_of = |file: &FileRef| {
         let changed_in = file.changed_in;
         file.parts.clone().into_iter().map(move |digest| part_key(changed_in, digest))
     };
-    let used: BTreeSet<SmolStr> = list.files().iter().flat_map(keys_of).collect();
-    let (old, kept): (Vec<_>, Vec<_>) =
+    let used_keys: BTreeSet<SmolStr> = list.files().iter().flat_map(keys_of).collect();
+    let (expired, kept): (Vec<_>, Vec<_>) =
         std::mem::take(&mut head.unused).into_iter().partition(|(at, _)| *at < limit);
     head.unused = kept;
-    old.into_iter().map(|(_, key)| key).filter(|key| !used.contains(key)).collect()
+    expired.into_iter().map(|(_, key)| key).filter(|key| !used_keys.contains(key)).collect()
 }
 
-/// Deleting is only tidying: what fails is left behind.
-fn delete_all(store: &dyn ObjectStore, keys: &[SmolStr]) {
+/// Deletes objects that are no longer used. Errors are ignored; the objects then remain.
+fn delete_objects(store: &dyn ObjectStore, keys: &[SmolStr]) {
     for key in keys {
         if let Ok(Some(object)) = store.get(key) {
             let _ = store.delete(key, object.revision);
@@ -438,28 +463,30 @@
     }
 }
 
-/// The texts of a merged set of files: from this folder, or from what is accepted.
-fn join(
+/// Contents of the merged `files`, from this folder or from the accepted configuration.
+fn assemble_files(
     store: &dyn ObjectStore,
     accepted: &FileList,
-    mine: &Cut,
+    mine: &SplitFiles,
     files: &FileParts,
-) -> Result<Texts> {
-    let mut texts = Texts::new();
+) -> Result<FileContents> {
+    let mut contents = FileContents::new();
     for (name, parts) in files {
         let mut text = Vec::new();
         for digest in parts {
             match mine.parts.get(digest) {
                 Some(bytes) => text.extend_from_slice(bytes),
-                None => text.extend_from_slice(&read_accepted(store, accepted, name, *digest)?),
+                None => {
+                    text.extend_from_slice(&read_accepted_part(store, accepted, name, *digest)?)
+                }
             }
         }
-        texts.insert(name.clone(), Bytes::from(text));
+        contents.insert(name.clone(), Bytes::from(text));
     }
-    Ok(texts)
+    Ok(contents)
 }
 
-fn read_accepted(
+fn read_accepted_part(
     store: &dyn ObjectStore,
     accepted: &FileList,
     name: &SmolStr,
@@ -467,7 +494,7 @@
 ) -> Result<Bytes> {
     let file = accepted.files().iter().find(|file| file.name == *name).ok_or(Code::WatchGap)?;
     let part = MissingPart { digest, key: part_key(file.changed_in, digest) };
-    Ok(accepted::read_part(store, &part)?)
+    Ok(accepted_config::read_part(store, &part)?)
 }
 
 #[derive(Deserialize, Serialize)]
@@ -476,7 +503,7 @@
     files: BTreeMap<SmolStr, Vec<String>>,
 }
 
-/// Reads the base beside a folder; [`Base::Unknown`] when there is none.
+/// Reads the base file of a folder; [`Base::Unknown`] if there is none.
 pub fn read_base(folder: &Path) -> Result<Base> {
     let path = folder.join(BASE_FILE);
     let text = match fs::read_to_string(&path) {
@@ -494,13 +521,18 @@
     Ok(Base::Files(files))
 }
 
-/// Writes the base beside a folder, after it was accepted as `generation`.
+/// Writes the base file of a folder that was accepted as `generation`.
 ///
-/// The base holds this folder's own contents, not what was accepted: where another publisher's
-/// file was kept, the next publishing must still see that this folder did not change it.
-pub fn write_base(folder: &Path, generation: Generation, texts: &Texts) -> Result<()> {
+/// The base holds the contents of this folder instead of the merged configuration. If the merge
+/// kept a file of another publisher, the next merge must still see that this folder did not change
+/// it.
+pub fn write_base(folder: &Path, generation: Generation, contents: &FileContents) -> Result<()> {
     let hex = |parts: Vec<Digest>| parts.into_iter().map(Digest::to_hex).collect();
-    let files = Cut::of(texts).files.into_iter().map(|(name, parts)| (name, hex(parts))).collect();
+    let files = SplitFiles::of(contents)
+        .files
+        .into_iter()
+        .map(|(name, parts)| (name, hex(parts)))
+        .collect();
     let text = toml::to_string(&BaseFile { generation, files }).expect("a base always encodes");
     let path = folder.join(BASE_FILE);
     fs::write(&path, text).map_err(|e| PublishError::Unreadable(path, e.to_string()))
--- a/node/src/status.rs
+++ b/node/src/status.rs
@@ -1,6 +1,7 @@
-//! Status objects: what each availability zone's relay writes back to the platform.
+//! Status objects, which the first relay of each availability zone writes to the platform.
 //!
-//! One object a zone, so that `ctl status` needs one list and one read a zone.
+//! There is one object per zone, so `mastichaven-ctl status` needs one list call and one read per
+//! zone.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -18,38 +19,38 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-use crate::accepted;
+use crate::accepted_config;
 
 /// Result of reading or writing status.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// Status objects lie below this prefix.
+/// Prefix of the keys of status objects; the name of the zone follows.
 pub const STATUS_PREFIX: &str = "status/zone/";
 
-/// What one zone's relay knows.
+/// Status of one availability zone.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ZoneStatus {
-    /// The zone.
+    /// Availability zone that the status describes.
     pub zone: ZoneName,
-    /// The relay that wrote this.
+    /// Host of the relay that wrote the status.
     pub relay: HostName,
-    /// Seconds of the relay's wall clock; for people.
+    /// Wall clock of the relay in Unix seconds; only for display.
     pub unix_seconds: u64,
-    /// The generation in force at the relay.
+    /// Generation in force at the relay.
     pub generation: Generation,
-    /// What the processes of the zone have in force.
+    /// Generations in force at the processes of the zone.
     pub survey: Survey,
-    /// Entries that are alive.
+    /// Number of entries that are alive or suspected.
     pub entries: u32,
-    /// Agents that are alive.
+    /// Number of agents that are alive or suspected.
     pub agents: u32,
-    /// Ready replicas by model and version.
+    /// Number of ready replicas by `MODEL@VERSION`.
     pub ready: BTreeMap<SmolStr, u32>,
-    /// What is held up, and why.
+    /// Planned replicas and configuration that are not ready, with the reason.
     pub held_up: Vec<String>,
 }
 
-/// Reads the status of every zone: one list and one read a zone.
+/// Reads the status of every zone. Objects that cannot be decoded are skipped.
 pub fn read_all(store: &dyn ObjectStore) -> Result<Vec<ZoneStatus>> {
     let keys = store.list(STATUS_PREFIX).map_err(PlatformError::code)?;
     let mut zones = Vec::new();
@@ -60,15 +61,16 @@
     Ok(zones)
 }
 
-/// The highest generation that any zone had in force, for when the head is gone.
+/// Highest generation that any relay reported in force; the fallback after the head was lost.
 pub fn highest_generation(store: &dyn ObjectStore) -> Result<Generation> {
     let zones = read_all(store)?;
     Ok(zones.iter().map(|zone| zone.generation).max().unwrap_or_default())
 }
 
-/// What `ctl status` prints: the head, then a line or more a zone.
+/// Returns the output of `mastichaven-ctl status`: the accepted generation, then the lines of each
+/// zone.
 pub fn report(store: &dyn ObjectStore) -> Result<String> {
-    let head = accepted::read_head(store)?;
+    let head = accepted_config::read_head(store)?;
     let mut out = String::new();
     match &head {
         Some((_, head)) => {
@@ -108,7 +110,8 @@
     }
 }
 
-/// Replaces the status of a zone. A lost race or a lost answer is made good by the next write.
+/// Replaces the status of a zone. A conflict or a lost answer needs no retry, because the next
+/// periodic write replaces the object anyway.
 pub fn write(store: &dyn ObjectStore, status: &ZoneStatus) -> Result<()> {
     let key = format!("{STATUS_PREFIX}{}", status.zone);
     let old = store.get(&key).map_err(PlatformError::code)?;
--- a/node/tests/control/main.rs
+++ b/node/tests/control/main.rs
@@ -1,3 +1,3 @@
-//! Tests of publishing, spreading and stopping, on stand-ins.
+//! Tests of publishing configuration to a stand-in of the platform.
 
 mod publish;
--- a/node/tests/proof/files.rs
+++ b/node/tests/proof/files.rs
@@ -82,7 +82,7 @@
     /// A peer or the platform hands on parts that are noise, or damaged in one byte. Nothing of
     /// them is in force, and the configuration before them stands.
     #[test]
-    fn offer_any_parts(
+    fn apply_config_any_parts(
         noise in vec(any::<u8>(), 0..200),
         at in any::<Index>(),
         byte in any::<u8>(),
@@ -94,15 +94,15 @@
             FileList::default().with_files(&files, Generation(generation)).delta_since(Generation(0))
         };
         let whole = Bytes::from(ZONE);
-        let first = documents.offer_config(&list("", 1), &[Bytes::new()]);
+        let first = documents.apply_config(&list("", 1), &[Bytes::new()]);
         assert_eq!(first, ApplyOutcome::Applied(vec![]));
         let mut damaged = whole.to_vec();
         let at = at.index(damaged.len());
         damaged[at] = byte;
         for bytes in [noise, damaged] {
             let is_whole = bytes == whole;
-            let offer = documents.offer_config(&list(ZONE, 2), &[bytes.into()]);
-            assert_eq!(matches!(offer, ApplyOutcome::MissingParts(_)), !is_whole);
+            let outcome = documents.apply_config(&list(ZONE, 2), &[bytes.into()]);
+            assert_eq!(matches!(outcome, ApplyOutcome::MissingParts(_)), !is_whole);
             assert_eq!(documents.generation() == Generation(2), is_whole);
         }
     }
