--- a/node/src/entry/peer_requests.rs
+++ b/node/src/entry/peer_requests.rs
@@ -24,7 +24,7 @@
 
 fn handle(shared: &Shared, incoming: Incoming) {
     match incoming.request.body {
-        RequestBody::Members(_) | RequestBody::Spread(_) => shared.control.take(incoming),
+        RequestBody::Members(_) | RequestBody::Spread(_) => shared.control.handle(incoming),
         RequestBody::Relay(request) => shared.claims.relay(request, incoming.replies),
         RequestBody::Suspect(crash) => {
             shared.quarantine.record_crash(shared, crash);
