--- a/node/tests/requests/connection_loss.rs
+++ b/node/tests/requests/connection_loss.rs
@@ -21,13 +21,13 @@
 
 /// A client and a server process, connected through a proxy. The server answers each request after
 /// a delay.
-struct Connected {
+struct Link {
     client: Transport,
     proxy: DatagramDoor,
-    ask: RequestMessage,
+    request: RequestMessage,
 }
 
-fn connect(delay: Duration) -> Connected {
+fn connect(delay: Duration) -> Link {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let ca = DevelopmentCa::generate().unwrap();
     let start = |host: &str, role, tx| {
@@ -50,7 +50,7 @@
     // Not a control request: those use connections of their own, with a short timeout per request
     // instead.
     let void = VoidRequest { request: RequestId::default(), incarnation: Incarnation::default() };
-    Connected { client, proxy, ask: RequestMessage { from, body: RequestBody::Void(void) } }
+    Link { client, proxy, request: RequestMessage { from, body: RequestBody::Void(void) } }
 }
 
 // A middlebox loses the state of an open connection: its packets are dropped without notice to
@@ -59,25 +59,21 @@
 // busy machines.
 #[test]
 fn ask_one_on_silent_connection() {
-    let connected = connect(Duration::ZERO);
-    assert!(
-        connected.client.ask_one(connected.proxy.address(), &connected.ask, ASK_TIMEOUT).is_ok()
-    );
-    connected.proxy.forget_connections();
+    let link = connect(Duration::ZERO);
+    assert!(link.client.ask_one(link.proxy.address(), &link.request, ASK_TIMEOUT).is_ok());
+    link.proxy.forget_connections();
     let sent_at = Instant::now();
-    let lost = connected.client.ask_one(connected.proxy.address(), &connected.ask, ASK_TIMEOUT);
+    let lost = link.client.ask_one(link.proxy.address(), &link.request, ASK_TIMEOUT);
     println!("failed after {:?}", sent_at.elapsed());
     assert_eq!(lost.unwrap_err(), Code::PeerLost);
-    assert!(
-        connected.client.ask_one(connected.proxy.address(), &connected.ask, ASK_TIMEOUT).is_ok()
-    );
+    assert!(link.client.ask_one(link.proxy.address(), &link.request, ASK_TIMEOUT).is_ok());
 }
 
 // A slow peer must not be treated as a lost connection, because a retry would run the request
 // twice.
 #[test]
 fn ask_one_to_slow_peer() {
-    let connected = connect(Duration::from_secs(4));
-    let address = connected.proxy.address();
-    assert!(connected.client.ask_one(address, &connected.ask, ASK_TIMEOUT).is_ok());
+    let link = connect(Duration::from_secs(4));
+    let address = link.proxy.address();
+    assert!(link.client.ask_one(address, &link.request, ASK_TIMEOUT).is_ok());
 }
