--- a/node/src/direct.rs
+++ b/node/src/direct.rs
@@ -6,7 +6,7 @@
 //! caller through [`response_body`]. The state of an entry comes from the platform's store through
 //! [`watch`] or from another entry through [`replication`], is applied by `updates`, and is
 //! complemented by the agents' [`load_reports`]. The agent consists of [`agent`], [`swarm`] and
-//! [`staging`].
+//! [`endpoint_client`].
 
 pub mod agent;
 mod attempt;
@@ -14,6 +14,7 @@
 pub mod chunk_cache;
 mod chunk_server;
 pub mod connection;
+pub mod endpoint_client;
 pub mod entry;
 pub mod explain;
 mod followers;
@@ -30,7 +31,6 @@
 pub mod response_body;
 mod selection;
 pub mod settings;
-pub mod staging;
 pub mod state;
 mod steps;
 pub mod store;
--- a/node/src/direct/store.rs
+++ b/node/src/direct/store.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreError {
     /// The connection failed or was closed, or no response arrived in time.
-    Link(ConnectionError),
+    Connection(ConnectionError),
     /// The store limits the rate of calls.
     Throttled,
     /// The store reported a server error.
@@ -54,7 +54,7 @@
     /// Name of the error in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            StoreError::Link(e) => e.as_str(),
+            StoreError::Connection(e) => e.as_str(),
             StoreError::Throttled => "throttled",
             StoreError::Unavailable => "unavailable",
             StoreError::Compacted => "compacted",
@@ -68,7 +68,7 @@
 pub struct StoreClient {
     address: SocketAddr,
     metrics: Rc<Metrics>,
-    link: Option<HttpConnection>,
+    connection: Option<HttpConnection>,
 }
 
 /// Name of the metric that counts this type of call.
@@ -88,7 +88,7 @@
 impl StoreClient {
     /// Creates a client of the store at `address`, which connects on the first call.
     pub fn new(address: SocketAddr, metrics: Rc<Metrics>) -> StoreClient {
-        StoreClient { address, metrics, link: None }
+        StoreClient { address, metrics, connection: None }
     }
 
     /// Reads all objects of a kind and the store revision of the list. It is the revision of the
@@ -127,24 +127,25 @@
     }
 
     async fn get(&mut self, path: &str, head_timeout: Duration) -> Result<Bytes> {
-        let mut link = match self.link.take() {
-            Some(link) if link.is_ready() => link,
+        let mut connection = match self.connection.take() {
+            Some(connection) if connection.is_ready() => connection,
             _ => HttpConnection::open(self.address, CONNECT_TIMEOUT)
                 .await
-                .map_err(StoreError::Link)?,
+                .map_err(StoreError::Connection)?,
         };
         let req = connection::build_request("GET", self.address, path, Bytes::new());
-        // After a failure the link is dropped. A connection on which a response was lost returns no
+        // After a failure the connection is dropped. One on which a response was lost returns no
         // further ones.
-        let sent = timeout(head_timeout, link.send(req)).await;
-        let response = sent.unwrap_or(Err(ConnectionError::TimedOut)).map_err(StoreError::Link)?;
+        let sent = timeout(head_timeout, connection.send(req)).await;
+        let response =
+            sent.unwrap_or(Err(ConnectionError::TimedOut)).map_err(StoreError::Connection)?;
         let (head, body) = response.into_parts();
         let body =
             connection::collect_body_with_idle_timeout(body, MAX_RESPONSE_LEN, RESPONSE_TIMEOUT)
                 .await;
-        let body = body.map_err(StoreError::Link)?;
-        if link.ready().await {
-            self.link = Some(link);
+        let body = body.map_err(StoreError::Connection)?;
+        if connection.ready().await {
+            self.connection = Some(connection);
         }
         match head.status {
             StatusCode::OK => Ok(body),
