--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -3,7 +3,7 @@
 //!
 //! | thread | task | file |
 //! | --- | --- | --- |
-//! | `asks` | handles the requests of other processes | `agent/asks.rs` |
+//! | `asks` | handles the requests of other processes | `agent/peer_requests.rs` |
 //! | `requests` | runs requests on the endpoint, one async task per request | `agent/run.rs` |
 //! | `engine` | polls the endpoint, switches the gate, sends orders | `agent/engine_watch.rs` |
 //! | `pull` | passes wanted versions and peers to the weight threads | `agent/pull.rs` |
@@ -66,8 +66,8 @@
 use crate::weights::Uplink;
 use crate::weights::Weights;
 
-mod asks;
 mod engine_watch;
+mod peer_requests;
 mod pull;
 mod run;
 
@@ -109,7 +109,7 @@
     weights_url: Mutex<String>,
     stopping: AtomicBool,
     over: AtomicBool,
-    running: AtomicU32,
+    in_flight: AtomicU32,
 }
 
 impl Shared {
@@ -239,16 +239,16 @@
             weights_url: Mutex::default(),
             stopping: AtomicBool::new(false),
             over: AtomicBool::new(false),
-            running: AtomicU32::new(0),
+            in_flight: AtomicU32::new(0),
         });
         let operators = operator::start(operators, shared.clone())?;
         *shared.weights_url.lock().expect("no holder of this lock panics") =
             format!("http://{operators}/weights/");
-        let asks = shared.clone();
+        let peer_requests = shared.clone();
         let requests = shared.clone();
         let threads = vec![
             spawn_thread("requests", move || run::run(&requests, &job_rx)),
-            spawn_thread("asks", move || asks::serve(&asks, &rx)),
+            spawn_thread("asks", move || peer_requests::serve(&peer_requests, &rx)),
             control::start(&shared),
             platform_watch::start(&shared, platform),
             spawn_polling_thread("engine", &shared, engine_watch::run),
@@ -294,10 +294,10 @@
         thread::sleep(LEAVE_DELAY);
         let deadline = self.shared.settings.stop_deadline_ms.map(Duration::from_millis);
         let begun = self.shared.clock.now();
-        while self.shared.running.load(Ordering::Acquire) > 0 {
+        while self.shared.in_flight.load(Ordering::Acquire) > 0 {
             if deadline.is_some_and(|deadline| self.shared.clock.now().passed(begun, deadline)) {
-                let running = self.shared.running.load(Ordering::Acquire);
-                warn!(self.shared.telemetry.log, "stop deadline"; "cut_off" => running);
+                let in_flight = self.shared.in_flight.load(Ordering::Acquire);
+                warn!(self.shared.telemetry.log, "stop deadline"; "cut_off" => in_flight);
                 break;
             }
             thread::sleep(POLL_INTERVAL);
@@ -349,10 +349,7 @@
 }
 
 fn spawn_thread(name: &str, run: impl FnOnce() + Send + 'static) -> thread::JoinHandle<()> {
-    thread::Builder::new()
-        .name(name.to_owned())
-        .spawn(run)
-        .expect("the operating system can start a thread")
+    thread::Builder::new().name(name.to_owned()).spawn(run).expect("thread can be created")
 }
 
 fn spawn_polling_thread(
@@ -423,7 +420,7 @@
                 "sent": self.transport.traffic().sent,
                 "received": self.transport.traffic().received,
             },
-            "running": self.running.load(Ordering::Acquire),
+            "running": self.in_flight.load(Ordering::Acquire),
             "on_record": self.attempts.lock().expect("no holder of this lock panics").len(),
             "weights": {
                 "chunks": chunks,
@@ -449,8 +446,8 @@
     }
 
     fn send_gauges(&self) {
-        let running = u64::from(self.running.load(Ordering::Acquire));
-        self.telemetry.gauge(Gauge::Running, running);
+        let in_flight = u64::from(self.in_flight.load(Ordering::Acquire));
+        self.telemetry.gauge(Gauge::Running, in_flight);
         self.telemetry.gauge(Gauge::Generation, self.documents.in_force().generation.0);
     }
 
--- a/node/src/agent/engine_watch.rs
+++ b/node/src/agent/engine_watch.rs
@@ -129,7 +129,7 @@
         let shared = self.shared;
         set_serving(shared, Serving::Nothing);
         self.wait_until_idle();
-        let Ok(drained) = verified.drain(release, shared.running.load(Ordering::Acquire)) else {
+        let Ok(drained) = verified.drain(release, shared.in_flight.load(Ordering::Acquire)) else {
             return;
         };
         let (version, fence, ordered) = drained.order();
@@ -147,8 +147,8 @@
             }
             Err(_) => {}
         }
-        let is_complete = confirmed.is_ok_and(|start| self.partial_load != Some((start, version)));
-        if is_complete {
+        let is_loaded = confirmed.is_ok_and(|start| self.partial_load != Some((start, version)));
+        if is_loaded {
             self.backoff.record_success();
             self.partial_load = None;
             return;
@@ -173,7 +173,7 @@
     }
 
     fn wait_until_idle(&self) {
-        while self.shared.running.load(Ordering::Acquire) > 0 && !self.shared.is_over() {
+        while self.shared.in_flight.load(Ordering::Acquire) > 0 && !self.shared.is_over() {
             thread::sleep(POLL_INTERVAL);
         }
     }
@@ -229,8 +229,8 @@
             let Some(address) = shared.address_of(host) else {
                 return false;
             };
-            let ask = shared.ask(RequestBody::Members(MembersRequest::Probe));
-            let reply = shared.transport.ask_one(address, &ask, PROBE_TIMEOUT);
+            let probe = shared.ask(RequestBody::Members(MembersRequest::Probe));
+            let reply = shared.transport.ask_one(address, &probe, PROBE_TIMEOUT);
             matches!(
                 reply.map(|reply| reply.body),
                 Ok(ReplyBody::Members(MembersReply::Member(member)))
--- a/node/src/agent/asks.rs
+++ b/node/src/agent/peer_requests.rs
@@ -13,13 +13,13 @@
 use super::run;
 use crate::transport::Incoming;
 
-/// How often the thread checks whether the agent has stopped.
-const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which the thread checks whether the agent has stopped.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Handles queued requests until the agent stops.
-pub(super) fn serve(shared: &Arc<Shared>, asks: &flume::Receiver<Incoming>) {
+pub(super) fn serve(shared: &Arc<Shared>, requests: &flume::Receiver<Incoming>) {
     while !shared.is_over() {
-        if let Ok(incoming) = asks.recv_timeout(SHUTDOWN_CHECK_INTERVAL) {
+        if let Ok(incoming) = requests.recv_timeout(STOP_POLL_INTERVAL) {
             handle(shared, incoming);
         }
     }
--- a/node/src/agent/pull.rs
+++ b/node/src/agent/pull.rs
@@ -95,7 +95,7 @@
     versions.extend(loaded_version(shared).filter(|version| !versions.contains(version)));
     let origin_copies = shared.documents.in_force().config.limits.origin_copies;
     shared.weights.set_wanted(WantedVersions { versions, origin_copies });
-    shared.weights.set_link_shared(shared.running.load(Ordering::Acquire) > 0);
+    shared.weights.set_link_shared(shared.in_flight.load(Ordering::Acquire) > 0);
 }
 
 fn to_peer_address(listed: &ListedHost) -> PeerAddress {
@@ -209,10 +209,10 @@
     let probing_candidates =
         plan.candidates.iter().filter(|host| in_my_zone(host)).take(MAX_PROBING_CANDIDATES);
     let hosts = replicas.filter(|host| in_my_zone(host)).chain(probing_candidates);
-    let ask = shared.ask(RequestBody::Members(MembersRequest::Probe));
+    let probe = shared.ask(RequestBody::Members(MembersRequest::Probe));
     let calls: Vec<_> = hosts
         .filter(|host| **host != shared.settings.place.host)
-        .filter_map(|host| Some((host, shared.transport.call(shared.address_of(host)?, &ask))))
+        .filter_map(|host| Some((host, shared.transport.call(shared.address_of(host)?, &probe))))
         .collect();
     let deadline = shared.clock.now() + PROBE_TIMEOUT;
     for (host, mut call) in calls {
--- a/node/src/agent/run.rs
+++ b/node/src/agent/run.rs
@@ -38,8 +38,8 @@
 /// Maximum number of requests queued for the thread; more are refused as busy.
 pub(super) const JOB_QUEUE_LEN: usize = 256;
 
-/// How often the thread checks whether the agent has stopped.
-const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which the thread checks whether the agent has stopped.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How often an exclusive request checks whether the endpoint is idle.
 const EXCLUSIVE_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -70,10 +70,10 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("the operating system can provide a runtime");
+        .expect("runtime can be created");
     runtime.block_on(async {
         while !shared.is_over() {
-            if let Ok(Ok(job)) = timeout(SHUTDOWN_CHECK_INTERVAL, jobs.recv_async()).await {
+            if let Ok(Ok(job)) = timeout(STOP_POLL_INTERVAL, jobs.recv_async()).await {
                 tokio::spawn(serve(shared.clone(), job));
             }
         }
@@ -91,13 +91,13 @@
 
 async fn serve(shared: Arc<Shared>, job: Job) {
     let Job { req, replies } = job;
-    shared.running.fetch_add(1, Ordering::AcqRel);
+    shared.in_flight.fetch_add(1, Ordering::AcqRel);
     if let Err(code) = run_attempt(&shared, &req, &replies).await {
         shared.telemetry.attempted(code);
         let frame = RunFrame::Refused { code, load: load(&shared) };
         let _ = replies.send_async(reply(&shared, frame)).await;
     }
-    shared.running.fetch_sub(1, Ordering::AcqRel);
+    shared.in_flight.fetch_sub(1, Ordering::AcqRel);
 }
 
 /// Runs `req`. An error proves that it did not run.
@@ -117,14 +117,14 @@
             return Err(code);
         }
     };
-    let ended = forward(shared, req, start, connection, replies).await;
-    shared.telemetry.attempted(match &ended.frame {
+    let end = forward(shared, req, start, connection, replies).await;
+    shared.telemetry.attempted(match &end.frame {
         RunFrame::Failed { code, .. } => *code,
         _ => Code::Ok,
     });
-    lock(&shared.attempts).finish(req.request, ended.state);
-    admitted.release(ended.request_end);
-    let frame = match ended.frame {
+    lock(&shared.attempts).finish(req.request, end.state);
+    admitted.release(end.request_end);
+    let frame = match end.frame {
         RunFrame::End { attempt, frames, .. } => {
             RunFrame::End { attempt, frames, load: load(shared) }
         }
--- a/node/src/weights.rs
+++ b/node/src/weights.rs
@@ -192,8 +192,5 @@
 }
 
 fn spawn_thread(name: &str, run: impl FnOnce() + Send + 'static) {
-    thread::Builder::new()
-        .name(name.to_owned())
-        .spawn(run)
-        .expect("the operating system can start a thread");
+    thread::Builder::new().name(name.to_owned()).spawn(run).expect("thread can be created");
 }
--- a/node/src/weights/pull.rs
+++ b/node/src/weights/pull.rs
@@ -104,7 +104,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .build()
-            .expect("the operating system can provide a timer");
+            .expect("runtime can be created");
         let seed = key_of(Digest::of(self.setup.location.host.as_str().as_bytes()));
         let origin = self.start_fetcher();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -245,7 +245,7 @@
     }
 
     fn send_to_peer(&self, request: Request, address: SocketAddr) {
-        let ask = RequestMessage {
+        let message = RequestMessage {
             from: (self.setup.sender)(),
             body: RequestBody::Weights(peer_request(&request)),
         };
@@ -254,7 +254,7 @@
         let events = self.events.clone();
         tokio::spawn(async move {
             let (outcome, availability, error) =
-                exchange(&transport, address, &ask, &request, &store).await;
+                exchange(&transport, address, &message, &request, &store).await;
             if let Some(events) = events.upgrade() {
                 let _ =
                     events.send_async(Event::Done { request, outcome, availability, error }).await;
@@ -309,11 +309,11 @@
 async fn exchange(
     transport: &Transport,
     address: SocketAddr,
-    ask: &RequestMessage,
+    message: &RequestMessage,
     request: &Request,
     store: &Store,
 ) -> (RequestOutcome, Option<Have>, Option<Code>) {
-    let mut call = transport.call(address, ask);
+    let mut call = transport.call(address, message);
     let reply = match tokio::time::timeout(request.timeout, call.next()).await {
         Err(_) | Ok(None) => return (RequestOutcome::TimedOut, None, None),
         Ok(Some(Err(Code::Unreachable))) => return (RequestOutcome::Unreachable, None, None),
--- a/node/src/weights/serve.rs
+++ b/node/src/weights/serve.rs
@@ -134,10 +134,10 @@
 
     fn handle_request(&mut self, incoming: Incoming) {
         let Incoming { peer, request, replies } = incoming;
-        let RequestBody::Weights(ask) = request.body else {
+        let RequestBody::Weights(request) = request.body else {
             return;
         };
-        let (object, long_poll_ms) = match ask {
+        let (object, long_poll_ms) = match request {
             WeightsRequest::Have(version) => {
                 let reply = WeightsReply::Have(self.have(version));
                 return self.send_immediately(&peer.host, reply, replies);
