--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -87,6 +87,7 @@
 
 /// Time without a change of the view after which the members count as settled.
 const SETTLE_DELAY: Duration = Duration::from_millis(1_500);
+
 /// Time after which the members count as settled even if changes continue: a flapping host must not
 /// delay placement.
 const MAX_SETTLE_DELAY: Duration = Duration::from_secs(10);
@@ -251,7 +252,7 @@
         let runtime = runtime.expect("a runtime without sockets can always be built");
         runtime.block_on(run(node, rx));
     };
-    thread::Builder::new().name("control".to_owned()).spawn(run).expect("the system gives a thread")
+    thread::Builder::new().name("control".to_owned()).spawn(run).expect("a thread can be started")
 }
 
 async fn run<N: ControlNode>(node: Arc<N>, rx: flume::Receiver<Event>) {
--- a/node/src/documents.rs
+++ b/node/src/documents.rs
@@ -52,7 +52,8 @@
         self.state.lock().expect("no holder of this lock panics")
     }
 
-    /// Inserts a plan if its revision is newer. Returns whether it was inserted.
+    /// Inserts a plan if its revision is newer. Returns whether it was inserted. A plan that cannot
+    /// be decoded is stored for peers, but does not replace the plan in force.
     pub fn insert_plan(&self, doc: Doc) -> bool {
         let plan = serde_json::from_slice(&doc.bytes).ok();
         let (key, revision) = (doc.key.clone(), doc.revision);
--- a/node/src/publish.rs
+++ b/node/src/publish.rs
@@ -55,7 +55,7 @@
 /// Number of generations for which replaced objects are kept for slow readers.
 const KEPT_GENERATIONS: usize = 16;
 
-/// Reason why a folder was not checked or published.
+/// Reason why a folder is invalid or was not published.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PublishError {
     /// The files are invalid; holds all problems found.
