--- a/node/src/direct/agent/loading.rs
+++ b/node/src/direct/agent/loading.rs
@@ -105,7 +105,7 @@
             return false;
         }
         let may_cut = self.may_cut();
-        let mode = if may_cut { LoadMode::CutRunning } else { LoadMode::AfterRunning };
+        let mode = if may_cut { LoadMode::AbortRunning } else { LoadMode::DrainRunning };
         match self.staging.load(&target.model, target.version, mode).await {
             Ok(()) => {
                 slog::info!(self.log, "load ordered"; "version" => target.version,
--- a/node/src/direct/agent/setup.rs
+++ b/node/src/direct/agent/setup.rs
@@ -87,7 +87,7 @@
             Ok((objects, _)) => objects,
             Err(e) => return self.note_store(Kind::Config, e.as_str()),
         };
-        let Some(catalog) = objects.iter().find_map(config::scan_config) else {
+        let Some(catalog) = objects.iter().find_map(config::parse_config) else {
             return;
         };
         let own = self.cfg.service.as_ref().and_then(|service| catalog.model_setup(service));
@@ -178,7 +178,7 @@
         let layers_of =
             |service: &ServiceName| if mine.as_ref() == Some(service) { layers } else { None };
         let listed =
-            objects.iter().filter_map(|object| endpoints::scan_endpoint(object, layers_of));
+            objects.iter().filter_map(|object| endpoints::parse_endpoint(object, layers_of));
         let peer =
             |listed: EndpointRecord| PeerEndpoint { address: listed.address, zone: listed.zone };
         self.set_peers(listed.filter(|listed| listed.is_engine).map(peer).collect());
@@ -214,7 +214,7 @@
             Ok((objects, _)) => objects,
             Err(e) => return self.note_store(Kind::Weights, e.as_str()),
         };
-        let named = objects.iter().filter_map(weights::scan_newest);
+        let named = objects.iter().filter_map(weights::parse_newest_version);
         let version =
             named.filter(|newest| newest.model == model).map(|newest| newest.version).max();
         self.named(&model, version.unwrap_or(FIRST_VERSION));
--- a/node/src/direct/attempt.rs
+++ b/node/src/direct/attempt.rs
@@ -15,9 +15,9 @@
 use mastichaven_core::direct::endpoint::EndpointRecord;
 use mastichaven_core::direct::versions::Versions;
 use mastichaven_platform::answer;
-use mastichaven_platform::answer::Verdict;
+use mastichaven_platform::answer::AnswerKind;
 use mastichaven_platform::call;
-use mastichaven_platform::call::Addition;
+use mastichaven_platform::call::AddedHeaders;
 use tokio::time::timeout;
 
 use super::call::Call;
@@ -134,31 +134,31 @@
         }
     };
     let id = call.head.id.as_deref();
-    match answer::judge(response.status(), response.headers(), id) {
-        Verdict::Success => AttemptOutcome::Responding(Box::new(EndpointResponse {
+    match answer::classify(response.status(), response.headers(), id) {
+        AnswerKind::Success => AttemptOutcome::Responding(Box::new(EndpointResponse {
             record,
             connection,
             place,
             response,
         })),
-        Verdict::NotRun => {
+        AnswerKind::NotRun => {
             state.endpoints.borrow_mut().record_refusal(endpoint, state.now());
             state.metrics.count("endpoint_refusals");
             recycle_connection(state, &record, connection, response).await;
             AttemptOutcome::NotRun
         }
-        Verdict::Misdirected => {
+        AnswerKind::Misdirected => {
             state.endpoints.borrow_mut().record_misdirected(endpoint, state.now());
             state.metrics.count("endpoint_misdirected");
             AttemptOutcome::NotRun
         }
-        Verdict::Failed => {
+        AnswerKind::Failed => {
             history.may_have_run = true;
             state.metrics.count("endpoint_failures");
             state.endpoints.borrow_mut().record_failure(endpoint, false, state.now());
             read_error_response(state, &record, connection, response).await
         }
-        Verdict::Foreign => {
+        AnswerKind::Foreign => {
             history.may_have_run = true;
             record_failed_attempt(
                 state,
@@ -188,7 +188,7 @@
         (state.oldest_allowed_version(model, now) == newest).then_some(newest)
     });
     let resume_after = resume_after.or(call.head.resumes_after.as_deref());
-    let addition = Addition {
+    let addition = AddedHeaders {
         deadline: Some(remaining),
         endpoint: &record.id,
         customer: call.customer.as_ref().map(|customer| &customer.name),
--- a/node/src/direct/gateway.rs
+++ b/node/src/direct/gateway.rs
@@ -93,7 +93,7 @@
 /// Handles one request of a caller.
 pub async fn handle_request(state: Rc<State>, req: Request<Incoming>) -> Response<ResponseBody> {
     let received_at = state.now();
-    let head = call::scan_call(req.headers());
+    let head = call::parse_call(req.headers());
     state.metrics.count("requests");
     let mut response = match admit(&state, &head, req, received_at).await {
         Ok(call) => forward_call(&state, Rc::new(call)).await,
--- a/node/src/direct/staging.rs
+++ b/node/src/direct/staging.rs
@@ -107,13 +107,13 @@
     /// What the endpoint says of itself.
     pub async fn report(&self, layers: u32) -> Result<Report> {
         let body = self.get(engine::REPORT_PATH).await?;
-        engine::scan_report(&body, layers).ok_or(StagingError::Malformed)
+        engine::parse_report(&body, layers).ok_or(StagingError::Malformed)
     }
 
     /// The chunks that are staged, by index.
     pub async fn staged(&self, model: &str) -> Result<Vec<usize>> {
         match self.get(&engine::staged_list_path(model)).await {
-            Ok(body) => engine::scan_staged(&body).ok_or(StagingError::Malformed),
+            Ok(body) => engine::parse_staged_chunks(&body).ok_or(StagingError::Malformed),
             Err(StagingError::Absent) => Ok(Vec::new()),
             Err(e) => Err(e),
         }
--- a/node/src/direct/store.rs
+++ b/node/src/direct/store.rs
@@ -101,7 +101,7 @@
             let path = objects::list_path(kind, after.as_deref(), allow_stale);
             self.metrics.count(counter_name(kind, false));
             let body = self.get(&path, RESPONSE_TIMEOUT).await?;
-            let page = objects::scan_page(&body).map_err(|_| StoreError::Malformed)?;
+            let page = objects::parse_page(&body).map_err(|_| StoreError::Malformed)?;
             revision.get_or_insert(page.revision);
             objects.extend(page.objects);
             after = page.next;
@@ -123,7 +123,7 @@
         let path = objects::watch_path(kind, revision, watch_timeout_ms);
         self.metrics.count(counter_name(kind, true));
         let body = self.get(&path, watch_timeout + RESPONSE_TIMEOUT).await?;
-        objects::scan_changes(&body).map_err(|_| StoreError::Malformed)
+        objects::parse_changes(&body).map_err(|_| StoreError::Malformed)
     }
 
     async fn get(&mut self, path: &str, head_timeout: Duration) -> Result<Bytes> {
--- a/node/src/direct/swarm/sources.rs
+++ b/node/src/direct/swarm/sources.rs
@@ -84,7 +84,7 @@
         };
         let path = origin_paths::manifest_path(&target.model, target.version);
         match self.ask_origin(&path).await {
-            Ok(body) => match origin_paths::scan_manifest(&body, target.version) {
+            Ok(body) => match origin_paths::parse_manifest(&body, target.version) {
                 Some(found) => self.take_manifest(&target, found.chunk_len, found.digests).await,
                 None => RequestOutcome::Corrupt,
             },
--- a/node/src/direct/watch/apply.rs
+++ b/node/src/direct/watch/apply.rs
@@ -71,7 +71,7 @@
         for change in changes {
             match (self.kind, change) {
                 (Kind::Endpoints, Change::Put(object)) => self.apply_endpoint_put(&object),
-                (Kind::Endpoints, Change::Gone(name)) => {
+                (Kind::Endpoints, Change::Deleted(name)) => {
                     let last_revision = self.state.endpoints.borrow().revision_of(&name);
                     self.apply_endpoint_deletion(name, last_revision.unwrap_or_default(), now);
                 }
@@ -79,14 +79,14 @@
                     self.evacuated.insert(object.name);
                     self.apply_evacuations(as_of);
                 }
-                (Kind::Evacuations, Change::Gone(name)) => {
+                (Kind::Evacuations, Change::Deleted(name)) => {
                     self.evacuated.remove(&name);
                     self.apply_evacuations(as_of);
                 }
                 (Kind::Weights, Change::Put(object)) => {
                     self.apply_weights_object(&object, Some(Duration::ZERO))
                 }
-                (Kind::Weights, Change::Gone(_)) | (Kind::Config, _) => {}
+                (Kind::Weights, Change::Deleted(_)) | (Kind::Config, _) => {}
             }
         }
     }
@@ -105,7 +105,7 @@
 
     /// Applies a configuration. Returns false if the object cannot be parsed.
     fn apply_config_object(&mut self, object: &Object) -> bool {
-        let Some(catalog) = config::scan_config(object) else {
+        let Some(catalog) = config::parse_config(object) else {
             slog::warn!(self.state.log, "cannot parse configuration"; "name" => object.name.as_str());
             return false;
         };
@@ -136,7 +136,7 @@
             service.model.as_ref().map(|model| model.layers)
         };
         self.state.lapsed.borrow_mut().remove(&object.name);
-        let record = endpoints::scan_endpoint(object, layers_of);
+        let record = endpoints::parse_endpoint(object, layers_of);
         if record.is_none() {
             slog::warn!(self.state.log, "cannot parse endpoint record";
                 "endpoint" => object.name.as_str(), "entry" => object.spec.to_string());
@@ -194,11 +194,11 @@
 
     /// `age` is the time since the announcement of the version; `None` if unknown.
     fn apply_weights_object(&mut self, object: &Object, age: Option<Duration>) {
-        let Some(newest) = weights::scan_newest(object) else {
+        let Some(newest) = weights::parse_newest_version(object) else {
             slog::warn!(self.state.log, "cannot parse weights version"; "name" => object.name.as_str());
             return;
         };
-        let weights::Newest { model, version } = newest;
+        let weights::NewestVersion { model, version } = newest;
         self.state.apply(Update::Weights { model, version, age });
     }
 }
