--- a/node/tests/direct/agent.rs
+++ b/node/tests/direct/agent.rs
@@ -1,9 +1,9 @@
 use std::thread;
 use std::time::Duration;
 
-use mastichaven_standins::served::endpoint::ServedEndpoint;
-use mastichaven_standins::served::origin::CHUNKS;
-use mastichaven_standins::served::store::StoreFault;
+use mastichaven_standins::direct::endpoint::FakeEndpoint;
+use mastichaven_standins::direct::origin::CHUNKS;
+use mastichaven_standins::direct::store::StoreFault;
 use serde_json::json;
 
 use super::fixture::Program;
@@ -19,7 +19,7 @@
     test: &str,
     count: usize,
     version: Option<u64>,
-) -> Vec<(ServedEndpoint, Program)> {
+) -> Vec<(FakeEndpoint, Program)> {
     let start = |n| {
         let endpoint = site.start_endpoint(&format!("i-{n}"), "writer", version);
         let agent = site.start_agent(&format!("{test}-{n}"), &endpoint);
@@ -28,7 +28,7 @@
     (0..count).map(start).collect()
 }
 
-fn all_hold(fleet: &[(ServedEndpoint, Program)], version: u64) -> bool {
+fn all_hold(fleet: &[(FakeEndpoint, Program)], version: u64) -> bool {
     fleet.iter().all(|(endpoint, _)| endpoint.version() == Some(version))
 }
 
@@ -44,7 +44,7 @@
     let new = site.start_endpoint("i-new", "writer", None);
     let _agent = site.start_agent("peers-new", &new);
     until("the new one answers from version 1", || new.version() == Some(1));
-    assert_eq!(new.mixed_loads(), 0);
+    assert_eq!(new.inconsistent_loads(), 0);
     assert_eq!(site.origin.chunks_sent(), 0);
     until("it is sent requests", || {
         let _ = entry.send_request("/stream/a", "a", "key-1");
@@ -68,7 +68,7 @@
         assert_eq!(answer.status, 200, "{answer:?}");
         all_hold(&fleet, 2)
     });
-    assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
+    assert!(fleet.iter().all(|(endpoint, _)| endpoint.inconsistent_loads() == 0));
     assert!(site.origin.chunks_sent() <= CHUNKS as u64 * 2, "{}", site.origin.chunks_sent());
 }
 
@@ -82,12 +82,12 @@
     name_version(&site, 2);
     for _ in 0..60 {
         for (endpoint, _) in &fleet {
-            endpoint.rot(3);
+            endpoint.corrupt_staged(3);
         }
         thread::sleep(Duration::from_millis(10));
     }
     until("all hold version 2", || all_hold(&fleet, 2));
-    assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
+    assert!(fleet.iter().all(|(endpoint, _)| endpoint.inconsistent_loads() == 0));
 }
 
 // The origin is down when a version is named, and sends wrong chunks when it is back.
@@ -100,14 +100,14 @@
     site.origin.set_down(true);
     name_version(&site, 2);
     thread::sleep(Duration::from_secs(3));
-    site.origin.set_garbled(true);
+    site.origin.set_corrupting(true);
     site.origin.set_down(false);
     thread::sleep(Duration::from_secs(1));
-    site.origin.set_garbled(false);
+    site.origin.set_corrupting(false);
     let back = std::time::Instant::now();
     until("all hold version 2", || all_hold(&fleet, 2));
     assert!(back.elapsed() < Duration::from_secs(8), "{:?}", back.elapsed());
-    assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
+    assert!(fleet.iter().all(|(endpoint, _)| endpoint.inconsistent_loads() == 0));
 }
 
 // Version 3 is named right after version 2. No endpoint may load chunks of both.
@@ -121,7 +121,7 @@
     thread::sleep(Duration::from_millis(900));
     name_version(&site, 3);
     until("all hold version 3", || all_hold(&fleet, 3));
-    assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
+    assert!(fleet.iter().all(|(endpoint, _)| endpoint.inconsistent_loads() == 0));
 }
 
 // All agents are killed in the middle of a download and start again. They find what is staged and go
@@ -140,7 +140,7 @@
         *agent = site.start_agent(&format!("killed-again-{n}"), endpoint);
     }
     until("all hold version 2", || all_hold(&fleet, 2));
-    assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
+    assert!(fleet.iter().all(|(endpoint, _)| endpoint.inconsistent_loads() == 0));
 }
 
 // All agents are restarted at once while the store's links are full. Each of them reading the
--- a/node/tests/direct/attempts.rs
+++ b/node/tests/direct/attempts.rs
@@ -1,5 +1,5 @@
-use mastichaven_standins::served::endpoint::EndpointFault;
-use mastichaven_standins::served::endpoint::ServedEndpoint;
+use mastichaven_standins::direct::endpoint::EndpointFault;
+use mastichaven_standins::direct::endpoint::FakeEndpoint;
 
 use super::fixture::Entry;
 use super::fixture::Site;
@@ -9,11 +9,7 @@
                       id: 3\ndata: 3\n\nid: 4\ndata: 4\n\nid: 5\ndata: 5\n\n";
 
 /// Starts two endpoints of a service, the first with `fault`, and an entry that knows both.
-fn start_pair(
-    name: &str,
-    service: &str,
-    fault: EndpointFault,
-) -> (Site, [ServedEndpoint; 2], Entry) {
+fn start_pair(name: &str, service: &str, fault: EndpointFault) -> (Site, [FakeEndpoint; 2], Entry) {
     let site = Site::start();
     let version = (service == "writer").then_some(1);
     let endpoints = [
@@ -26,8 +22,8 @@
     (site, endpoints, entry)
 }
 
-fn count_runs(endpoints: &[ServedEndpoint], id: &str) -> usize {
-    let runs = endpoints.iter().flat_map(ServedEndpoint::runs);
+fn count_runs(endpoints: &[FakeEndpoint], id: &str) -> usize {
+    let runs = endpoints.iter().flat_map(FakeEndpoint::runs);
     runs.filter(|run| run.id == id).count()
 }
 
@@ -138,7 +134,7 @@
 // at another endpoint before the caller gives up.
 #[test]
 fn stream_without_first_event_is_retried_elsewhere() {
-    let (_site, _endpoints, entry) = start_pair("dark", "writer", EndpointFault::Dark);
+    let (_site, _endpoints, entry) = start_pair("dark", "writer", EndpointFault::Unresponsive);
     for n in 0..3 {
         let response = entry.send_request("/stream/a", &format!("s{n}"), "key-1").unwrap();
         assert_eq!((response.status, response.body.as_str()), (200, EVENTS));
--- a/node/tests/direct/entry.rs
+++ b/node/tests/direct/entry.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use mastichaven_standins::served::endpoint::EndpointFault;
-use mastichaven_standins::served::site;
-use mastichaven_standins::served::store::StoreFault;
+use mastichaven_standins::direct::endpoint::EndpointFault;
+use mastichaven_standins::direct::site;
+use mastichaven_standins::direct::store::StoreFault;
 use serde_json::json;
 
 use super::fixture::Site;
@@ -181,7 +181,7 @@
     let writer = site.start_endpoint("i-w", "writer", Some(1));
     let entry = site.start_entry("left");
     until("served", || entry.send_request("/stream/a", "a", "key-1").unwrap().status == 200);
-    writer.set_fault(EndpointFault::Dark);
+    writer.set_fault(EndpointFault::Unresponsive);
     let mut stream = TcpStream::connect(entry.callers).unwrap();
     let head = site::caller_head("/stream/a", "gone", "key-1", 0);
     stream.write_all(head.as_bytes()).unwrap();
@@ -214,7 +214,7 @@
 fn endpoints_listed_before_config_are_checked_against_it() {
     let site = Site::start_unconfigured();
     let writer = site.start_endpoint("i-w", "writer", Some(1));
-    site.store.put(site::ENDPOINTS, "i-w", writer.half_entry("writer", "zone-a"));
+    site.store.put(site::ENDPOINTS, "i-w", writer.half_loaded_record("writer", "zone-a"));
     let entry = site.spawn_entry("early");
     thread::sleep(Duration::from_millis(600));
     site.configure(1, &["key-1"], true);
@@ -233,7 +233,7 @@
 fn watch_catches_up_with_frequent_config_updates() {
     let site = Site::start();
     let entry = site.start_entry("storm");
-    site.store.set_link(LINK_BYTES_PER_S);
+    site.store.set_bandwidth(LINK_BYTES_PER_S);
     let last = 80;
     for version in 2..=last {
         site.configure_padded(version, &["key-1"], CONFIG_PADDING);
@@ -251,7 +251,7 @@
     let site = Site::start();
     let endpoint = site.start_endpoint("i-d", "desk", None);
     site.list_padded_endpoint("i-d", &endpoint, "ready", RECORD_PADDING);
-    site.store.set_link(SLOW_LINK_BYTES_PER_S);
+    site.store.set_bandwidth(SLOW_LINK_BYTES_PER_S);
     let entry = site.spawn_entry("slow-link");
     thread::sleep(Duration::from_millis(1_500));
     site.list_padded_endpoint("i-d", &endpoint, "draining", RECORD_PADDING);
--- a/node/tests/direct/fixture.rs
+++ b/node/tests/direct/fixture.rs
@@ -15,10 +15,10 @@
 use mastichaven_node::direct::connection;
 use mastichaven_node::direct::connection::ConnectionError;
 use mastichaven_node::direct::connection::HttpConnection;
-use mastichaven_standins::served::endpoint::ServedEndpoint;
-use mastichaven_standins::served::origin::ServedOrigin;
-use mastichaven_standins::served::site;
-use mastichaven_standins::served::store::ServedStore;
+use mastichaven_standins::direct::endpoint::FakeEndpoint;
+use mastichaven_standins::direct::origin::FakeOrigin;
+use mastichaven_standins::direct::site;
+use mastichaven_standins::direct::store::FakeStore;
 use serde_json::Value;
 
 /// Limit on the wait for a condition that holds eventually, with room for a busy machine.
@@ -130,8 +130,8 @@
 
 /// The platform of one test.
 pub struct Site {
-    pub store: ServedStore,
-    pub origin: ServedOrigin,
+    pub store: FakeStore,
+    pub origin: FakeOrigin,
 }
 
 impl Site {
@@ -144,8 +144,8 @@
 
     /// A platform without a configuration.
     pub fn start_unconfigured() -> Site {
-        let store = ServedStore::start("127.0.0.1:0").expect("the store starts");
-        let origin = ServedOrigin::start("127.0.0.1:0").expect("the origin starts");
+        let store = FakeStore::start("127.0.0.1:0").expect("the store starts");
+        let origin = FakeOrigin::start("127.0.0.1:0").expect("the origin starts");
         Site { store, origin }
     }
 
@@ -163,28 +163,28 @@
     }
 
     /// Starts an endpoint and lists it as ready.
-    pub fn start_endpoint(&self, id: &str, service: &str, version: Option<u64>) -> ServedEndpoint {
+    pub fn start_endpoint(&self, id: &str, service: &str, version: Option<u64>) -> FakeEndpoint {
         let ip = allocate_ip();
         let at = format!("{ip}:0");
-        let endpoint = ServedEndpoint::start(&at, id, version).expect("the endpoint starts");
+        let endpoint = FakeEndpoint::start(&at, id, version).expect("the endpoint starts");
         self.list_endpoint(id, service, &endpoint, "ready");
         endpoint
     }
 
     /// Lists an endpoint as ready or draining.
-    pub fn list_endpoint(&self, id: &str, service: &str, endpoint: &ServedEndpoint, state: &str) {
-        self.store.put(site::ENDPOINTS, id, endpoint.entry(service, "zone-a", state));
+    pub fn list_endpoint(&self, id: &str, service: &str, endpoint: &FakeEndpoint, state: &str) {
+        self.store.put(site::ENDPOINTS, id, endpoint.record(service, "zone-a", state));
     }
 
     /// Lists an endpoint in a record with `padding` additional bytes.
     pub fn list_padded_endpoint(
         &self,
         id: &str,
-        endpoint: &ServedEndpoint,
+        endpoint: &FakeEndpoint,
         state: &str,
         padding: usize,
     ) {
-        let mut entry = endpoint.entry("desk", "zone-a", state);
+        let mut entry = endpoint.record("desk", "zone-a", state);
         entry["note"] = Value::String("n".repeat(padding));
         self.store.put(site::ENDPOINTS, id, entry);
     }
@@ -239,7 +239,7 @@
     }
 
     /// Starts the agent on the host of `endpoint`.
-    pub fn start_agent(&self, name: &str, endpoint: &ServedEndpoint) -> Program {
+    pub fn start_agent(&self, name: &str, endpoint: &FakeEndpoint) -> Program {
         let ip = endpoint.address().ip().to_string();
         let role_settings = format!("endpoint = \"{}\"\nservice = \"writer\"", endpoint.address());
         let binary = env!("CARGO_BIN_EXE_mastichaven-agent");
--- a/node/tests/direct/replication.rs
+++ b/node/tests/direct/replication.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
-use mastichaven_standins::served::endpoint::ServedEndpoint;
-use mastichaven_standins::served::store::StoreFault;
+use mastichaven_standins::direct::endpoint::FakeEndpoint;
+use mastichaven_standins::direct::store::StoreFault;
 
 use super::fixture::Entry;
 use super::fixture::Program;
@@ -19,8 +19,8 @@
 /// second, so the first reads the store and the second follows it.
 struct Pair {
     site: Site,
-    _desk: ServedEndpoint,
-    _engine: ServedEndpoint,
+    _desk: FakeEndpoint,
+    _engine: FakeEndpoint,
     _agent: Program,
     parent: Entry,
     follower: Entry,
@@ -157,11 +157,11 @@
     let _desk = site.start_endpoint("i-d", "desk", None);
     let engine = site.start_endpoint("i-w", "writer", Some(1));
     let _agent = site.start_agent("away-agent", &engine);
-    let store_proxy = site.store.door().expect("the store has another address");
+    let store_proxy = site.store.open_proxy().expect("the store has another address");
     let parent = site.start_entry_with_store("away-parent", store_proxy.address());
     let follower = site.start_entry_with_seeds("away-follower", site.store.address(), &[&parent]);
     until("the second entry follows", || follower.dump()["follows"] == true);
-    store_proxy.set_closed(true);
+    store_proxy.set_rejecting(true);
     let is_served = |key| parent.send_request("/lookup/a", "a", key).is_ok_and(|a| a.status == 200);
     assert!(!is_within(OUTAGE_DURATION, || !is_served("key-1") || !parent.is_ready()));
     site.configure(5, &["key-1"], true);
@@ -175,8 +175,8 @@
     let site = Site::start();
     let _desk = site.start_endpoint("i-d", "desk", None);
     let seed = site.start_entry("seeded-first");
-    let store_proxy = site.store.door().expect("the store has another address");
-    store_proxy.set_closed(true);
+    let store_proxy = site.store.open_proxy().expect("the store has another address");
+    store_proxy.set_rejecting(true);
     let second = site.start_entry_with_seeds("seeded-second", store_proxy.address(), &[&seed]);
     assert!(
         second.send_request("/lookup/a", "a", "key-1").is_ok_and(|answer| answer.status == 200)
--- a/standins/src/served/endpoint.rs
+++ b/standins/src/direct/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint: runs requests on its slots, streams events, takes orders, holds staged chunks.
+//! A fake endpoint that runs requests, streams events, accepts orders and stores staged chunks.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -20,156 +20,157 @@
 use crate::serve::Req;
 use crate::serve::Running;
 
-/// Layers of the model.
+/// Number of layers of the model.
 const LAYERS: u32 = 4;
 
-/// Time between events of a stream.
-const EVENT_EVERY: Duration = Duration::from_millis(15);
+/// Time between two events of a stream, and before a plain answer.
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Events of a stream.
-const EVENTS: u64 = 6;
+/// Number of events of a complete stream.
+const EVENTS_PER_STREAM: u64 = 6;
 
-/// Time that a load takes.
-const LOAD_TIME: Duration = Duration::from_millis(60);
+/// Time from the acceptance of a load order to its completion.
+const LOAD_DELAY: Duration = Duration::from_millis(60);
 
-/// How an endpoint treats the requests that come next.
+/// How an endpoint handles the requests it receives.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum EndpointFault {
-    /// It works.
+    /// Requests are answered normally.
     #[default]
     None,
-    /// It refuses as full and says that the request has not run.
+    /// Requests are rejected with a proof that they have not run, as by a full endpoint.
     Full,
-    /// It runs the request and cuts the connection in place of an answer.
+    /// Requests run, and the connection is closed before an answer.
     LostAnswer,
-    /// It runs the request and fails with an answer of its own.
+    /// Requests run and are answered with a signed 500.
     Failing,
-    /// It cuts streams after this many events.
+    /// Streams break off in the middle of the event with this index.
     CutAfter(u64),
-    /// It answers with the id of another request.
+    /// Answers carry the id of another request.
     WrongId,
-    /// It says that another endpoint has its address.
+    /// Requests are answered with 421, as if another endpoint had the address.
     Misdirected,
-    /// It takes requests and never answers.
-    Dark,
+    /// Requests are accepted and never answered.
+    Unresponsive,
 }
 
-/// A run of a request.
+/// A request that the endpoint ran.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Run {
-    /// The request's id.
+    /// Attempt id of the request.
     pub id: String,
-    /// Its path.
+    /// Path of the request.
     pub path: String,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// The customer that the endpoint was told.
+    /// Customer named in the request's headers.
     pub customer: Option<String>,
-    /// The time that the request was given, in milliseconds.
+    /// Time left until the request's deadline, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// The event after which it goes on.
+    /// Event after which the stream resumes.
     pub resumed_after: Option<u64>,
-    /// Whether its caller left before the end.
+    /// Whether the caller disconnected before the end of the answer.
     pub is_abandoned: bool,
 }
 
 #[derive(Debug, Default)]
-struct Inside {
+struct State {
     fault: EndpointFault,
     runs: Vec<Run>,
     running: u32,
     version: Option<u64>,
     staged: HashMap<usize, Vec<u8>>,
     orders: u64,
-    mixed_loads: u64,
+    inconsistent_loads: u64,
     is_busy: bool,
 }
 
 #[derive(Debug)]
 struct Shared {
     id: String,
-    inside: Mutex<Inside>,
+    state: Mutex<State>,
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Inside> {
-        self.inside.lock().expect("no holder of this lock panics")
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().expect("no holder of this lock panics")
     }
 }
 
-/// A running endpoint.
+/// A running fake endpoint; dropping it stops it.
 #[derive(Debug)]
-pub struct ServedEndpoint {
+pub struct FakeEndpoint {
     shared: Arc<Shared>,
-    running: Running,
+    server: Running,
 }
 
-impl ServedEndpoint {
-    /// Starts the endpoint `id` on `address`, with a version of weights if it is given one.
-    pub fn start(address: &str, id: &str, version: Option<u64>) -> io::Result<ServedEndpoint> {
-        let inside = Inside { version, staged: staged(version), ..Inside::default() };
-        let shared = Arc::new(Shared { id: id.to_owned(), inside: Mutex::new(inside) });
-        let answering = shared.clone();
-        let running = serve::start(address, move |req| answer(&answering, req))?;
-        Ok(ServedEndpoint { shared, running })
+impl FakeEndpoint {
+    /// Starts the endpoint `id` on `address`, with the weights of `version` loaded and staged if it is
+    /// given.
+    pub fn start(address: &str, id: &str, version: Option<u64>) -> io::Result<FakeEndpoint> {
+        let state = State { version, staged: staged_chunks(version), ..State::default() };
+        let shared = Arc::new(Shared { id: id.to_owned(), state: Mutex::new(state) });
+        let handler_state = shared.clone();
+        let server = serve::start(address, move |req| answer(&handler_state, req))?;
+        Ok(FakeEndpoint { shared, server })
     }
 
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     pub fn address(&self) -> SocketAddr {
-        self.running.address
+        self.server.address
     }
 
-    /// Its entry in the platform's list.
-    pub fn entry(&self, service: &str, zone: &str, state: &str) -> Value {
+    /// Returns the endpoint's record for the store.
+    pub fn record(&self, service: &str, zone: &str, state: &str) -> Value {
         let version = self.version();
-        let mut entry = json!({
+        let mut record = json!({
             "service": service, "address": self.address().to_string(), "zone": zone,
             "version": "v1", "slots": 4, "state": state, "cold_remaining_ms": 0,
             "stage": "colocated", "sequence": 0, "models": []
         });
         if let Some(version) = version {
-            entry["models"] = json!([{"name": "m", "version": version, "adapters": []}]);
-            entry["layers"] = json!({"from": 0, "to": LAYERS, "version": version});
+            record["models"] = json!([{"name": "m", "version": version, "adapters": []}]);
+            record["layers"] = json!({"from": 0, "to": LAYERS, "version": version});
         }
-        entry
+        record
     }
 
-    /// An entry of the list with only half of the layers.
-    pub fn half_entry(&self, service: &str, zone: &str) -> Value {
-        let mut entry = self.entry(service, zone, "ready");
-        entry["layers"]["to"] = json!(LAYERS / 2);
-        entry
+    /// Returns a record that reports only half of the layers.
+    pub fn half_loaded_record(&self, service: &str, zone: &str) -> Value {
+        let mut record = self.record(service, zone, "ready");
+        record["layers"]["to"] = json!(LAYERS / 2);
+        record
     }
 
-    /// Makes it fail, or work again.
+    /// Sets the fault that applies to later requests.
     pub fn set_fault(&self, fault: EndpointFault) {
         self.shared.lock().fault = fault;
     }
 
-    /// What it has run.
+    /// Requests run so far, in the order of their arrival.
     pub fn runs(&self) -> Vec<Run> {
         self.shared.lock().runs.clone()
     }
 
-    /// The version that it answers from.
+    /// Version of the weights from which requests are answered.
     pub fn version(&self) -> Option<u64> {
         self.shared.lock().version
     }
 
-    /// Loads that took chunks which were missing, wrong or of another version.
-    pub fn mixed_loads(&self) -> u64 {
-        self.shared.lock().mixed_loads
+    /// Number of loads for which staged chunks were missing, corrupt or of another version.
+    pub fn inconsistent_loads(&self) -> u64 {
+        self.shared.lock().inconsistent_loads
     }
 
-    /// Spoils a staged chunk.
-    pub fn rot(&self, index: usize) {
+    /// Corrupts a staged chunk.
+    pub fn corrupt_staged(&self, index: usize) {
         if let Some(chunk) = self.shared.lock().staged.get_mut(&index) {
             chunk[0] ^= 1;
         }
     }
 }
 
-fn staged(version: Option<u64>) -> HashMap<usize, Vec<u8>> {
+fn staged_chunks(version: Option<u64>) -> HashMap<usize, Vec<u8>> {
     let Some(version) = version else {
         return HashMap::new();
     };
@@ -182,23 +183,23 @@
         "/report" => report(shared, req),
         "/order" => order(shared, req),
         "/health" => req.respond(200, &[("x-mastichaven-instance-id", &shared.id)], ""),
-        path if path.starts_with("/stage-put/") => stage(shared, req),
-        path if path.starts_with("/stage-get/") => unstage(shared, req),
+        path if path.starts_with("/stage-put/") => write_staged(shared, req),
+        path if path.starts_with("/stage-get/") => read_staged(shared, req),
         _ => run(shared, req),
     }
 }
 
 fn report(shared: &Shared, req: Req) {
-    let inside = shared.lock();
+    let state = shared.lock();
     let mut body = json!({
-        "stage": "colocated", "models": [], "busy": inside.is_busy, "sequence": inside.orders,
-        "waiting": 0, "running": inside.running, "kv_used": 0, "kv_total": 1000, "handles": 0
+        "stage": "colocated", "models": [], "busy": state.is_busy, "sequence": state.orders,
+        "waiting": 0, "running": state.running, "kv_used": 0, "kv_total": 1000, "handles": 0
     });
-    if let Some(version) = inside.version {
+    if let Some(version) = state.version {
         body["models"] = json!([{"name": "m", "version": version, "adapters": []}]);
         body["layers"] = json!({"from": 0, "to": LAYERS, "version": version});
     }
-    drop(inside);
+    drop(state);
     req.respond_json(&body);
 }
 
@@ -207,27 +208,27 @@
     let Some(version) = order["version"].as_u64().filter(|_| order["op"] == "start") else {
         return req.respond(400, &[], "");
     };
-    let mut inside = shared.lock();
-    if inside.version == Some(version) {
-        drop(inside);
+    let mut state = shared.lock();
+    if state.version == Some(version) {
+        drop(state);
         return req.respond(200, &[], "");
     }
-    inside.orders += 1;
-    inside.is_busy = true;
-    inside.mixed_loads += u64::from(inside.staged != staged(Some(version)));
-    drop(inside);
+    state.orders += 1;
+    state.is_busy = true;
+    state.inconsistent_loads += u64::from(state.staged != staged_chunks(Some(version)));
+    drop(state);
     req.respond(202, &[], "");
-    thread::sleep(LOAD_TIME);
-    let mut inside = shared.lock();
-    inside.version = Some(version);
-    inside.is_busy = false;
+    thread::sleep(LOAD_DELAY);
+    let mut state = shared.lock();
+    state.version = Some(version);
+    state.is_busy = false;
 }
 
 fn chunk_index(req: &Req) -> Option<usize> {
     req.query("sample_count")?.parse().ok()
 }
 
-fn stage(shared: &Shared, req: Req) {
+fn write_staged(shared: &Shared, req: Req) {
     let Some(index) = chunk_index(&req).filter(|_| req.method == Method::PUT) else {
         return req.respond(400, &[], "");
     };
@@ -235,7 +236,7 @@
     req.respond(200, &[], "");
 }
 
-fn unstage(shared: &Shared, req: Req) {
+fn read_staged(shared: &Shared, req: Req) {
     let Some(index) = chunk_index(&req) else {
         let held: BTreeMap<usize, ()> =
             shared.lock().staged.keys().map(|index| (*index, ())).collect();
@@ -256,14 +257,14 @@
     }
     let id = req.header("x-mastichaven-attempt-id").unwrap_or_default().to_owned();
     if fault == EndpointFault::Full || id.is_empty() {
-        let headers = [("x-mastichaven-attempt-id", id.as_str()), NOT_RUN];
+        let headers = [("x-mastichaven-attempt-id", id.as_str()), NOT_RUN_HEADER];
         return req.respond(503, &headers, "");
     }
     let resumed_after = req.header("last-event-id").and_then(|id| id.parse().ok());
-    let n = {
-        let mut inside = shared.lock();
-        inside.running += 1;
-        inside.runs.push(Run {
+    let run_index = {
+        let mut state = shared.lock();
+        state.running += 1;
+        state.runs.push(Run {
             id: id.clone(),
             path: req.path.clone(),
             body: req.body.to_vec(),
@@ -272,17 +273,17 @@
             resumed_after,
             is_abandoned: false,
         });
-        inside.runs.len() - 1
+        state.runs.len() - 1
     };
     let is_abandoned = answer_run(shared, req, &id, fault, resumed_after);
-    let mut inside = shared.lock();
-    inside.running -= 1;
-    inside.runs[n].is_abandoned = is_abandoned;
+    let mut state = shared.lock();
+    state.running -= 1;
+    state.runs[run_index].is_abandoned = is_abandoned;
 }
 
-const NOT_RUN: (&str, &str) = ("x-mastichaven-not-executed", "1");
+const NOT_RUN_HEADER: (&str, &str) = ("x-mastichaven-not-executed", "1");
 
-/// Answers a run; says whether its caller left before the end.
+/// Answers a run. Returns whether the caller disconnected before the end of the answer.
 fn answer_run(
     shared: &Shared,
     req: Req,
@@ -299,31 +300,31 @@
             req.respond(500, &headers, "failed");
             return false;
         }
-        EndpointFault::Dark => {
+        EndpointFault::Unresponsive => {
             while !req.is_left() {
-                thread::sleep(EVENT_EVERY);
+                thread::sleep(EVENT_INTERVAL);
             }
             return true;
         }
         _ => {}
     }
     if !req.path.starts_with("/stream/") {
-        thread::sleep(EVENT_EVERY);
+        thread::sleep(EVENT_INTERVAL);
         let body = format!("answer to {id} by {}", shared.id);
         req.respond(200, &headers, body);
         return false;
     }
-    let pieces = req.stream(200, &headers);
-    for event in resumed_after.map_or(0, |after| after + 1)..EVENTS {
-        thread::sleep(EVENT_EVERY);
+    let body = req.stream(200, &headers);
+    for event in resumed_after.map_or(0, |after| after + 1)..EVENTS_PER_STREAM {
+        thread::sleep(EVENT_INTERVAL);
         if matches!(fault, EndpointFault::CutAfter(events) if event >= events) {
-            pieces.send(Bytes::from(format!("id: {event}\nda")));
+            body.send(Bytes::from(format!("id: {event}\nda")));
             return false;
         }
-        if !pieces.send(Bytes::from(format!("id: {event}\ndata: {event}\n\n"))) {
+        if !body.send(Bytes::from(format!("id: {event}\ndata: {event}\n\n"))) {
             return true;
         }
     }
-    pieces.end();
+    body.end();
     false
 }
--- a/standins/src/served/origin.rs
+++ b/standins/src/direct/origin.rs
@@ -1,4 +1,4 @@
-//! The origin of weights: digests and chunks of versions that it makes from their number.
+//! A fake weights origin that generates manifests and chunks from the version number.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,19 +18,19 @@
 use crate::serve::Req;
 use crate::serve::Running;
 
-/// Chunks of a version.
+/// Number of chunks of a version.
 pub const CHUNKS: usize = 16;
 
-/// Bytes of a chunk.
+/// Length of a chunk in bytes.
 pub const CHUNK_LEN: usize = 4_096;
 
-/// The bytes of a chunk of a version.
+/// Generates the bytes of a chunk, the same for each `version` and `index`.
 pub fn chunk(version: u64, index: usize) -> Vec<u8> {
     let mut rng = ChaCha8Rng::seed_from_u64(version * 1_000 + index as u64);
     (0..CHUNK_LEN).map(|_| rng.random()).collect()
 }
 
-/// The SHA-256 of some bytes in hexadecimal.
+/// The SHA-256 digest of `bytes` in hexadecimal.
 pub fn digest(bytes: &[u8]) -> String {
     Sha256::digest(bytes).iter().map(|byte| format!("{byte:02x}")).collect()
 }
@@ -38,42 +38,42 @@
 #[derive(Debug, Default)]
 struct Shared {
     down: AtomicBool,
-    garbled: AtomicBool,
+    corrupting: AtomicBool,
     chunks_sent: AtomicU64,
 }
 
-/// A running origin.
+/// A running fake origin; dropping it stops it.
 #[derive(Debug)]
-pub struct ServedOrigin {
+pub struct FakeOrigin {
     shared: Arc<Shared>,
-    running: Running,
+    server: Running,
 }
 
-impl ServedOrigin {
-    /// Starts it on `address`.
-    pub fn start(address: &str) -> io::Result<ServedOrigin> {
+impl FakeOrigin {
+    /// Starts the origin on `address`.
+    pub fn start(address: &str) -> io::Result<FakeOrigin> {
         let shared = Arc::new(Shared::default());
-        let answering = shared.clone();
-        let running = serve::start(address, move |req| answer(&answering, req))?;
-        Ok(ServedOrigin { shared, running })
+        let handler_state = shared.clone();
+        let server = serve::start(address, move |req| answer(&handler_state, req))?;
+        Ok(FakeOrigin { shared, server })
     }
 
-    /// Where it listens.
+    /// Address on which the origin listens.
     pub fn address(&self) -> SocketAddr {
-        self.running.address
+        self.server.address
     }
 
-    /// While down it cuts every connection.
+    /// While `down`, connections are closed without an answer.
     pub fn set_down(&self, down: bool) {
         self.shared.down.store(down, Ordering::Release);
     }
 
-    /// While set, the chunks it sends are wrong.
-    pub fn set_garbled(&self, garbled: bool) {
-        self.shared.garbled.store(garbled, Ordering::Release);
+    /// While `corrupting`, chunks are sent with a wrong byte.
+    pub fn set_corrupting(&self, corrupting: bool) {
+        self.shared.corrupting.store(corrupting, Ordering::Release);
     }
 
-    /// Chunks sent so far.
+    /// Number of chunks sent so far.
     pub fn chunks_sent(&self) -> u64 {
         self.shared.chunks_sent.load(Ordering::Acquire)
     }
@@ -98,7 +98,7 @@
     };
     shared.chunks_sent.fetch_add(1, Ordering::AcqRel);
     let mut bytes = chunk(version, index as usize);
-    if shared.garbled.load(Ordering::Acquire) {
+    if shared.corrupting.load(Ordering::Acquire) {
         bytes[0] ^= 1;
     }
     req.respond(200, &[], bytes);
--- a/standins/src/served/site.rs
+++ b/standins/src/direct/site.rs
@@ -1,4 +1,4 @@
-//! A small deployment on the served platform: its configuration, and what callers send.
+//! A small test deployment: its configuration, and the requests of its callers.
 
 use std::net::SocketAddr;
 
@@ -7,17 +7,18 @@
 
 use super::origin;
 
-/// Host that callers ask for.
+/// Host name in the requests of callers.
 pub const HOST: &str = "site.example";
 
-/// Name of the header with an endpoint's signature.
+/// Name of the header with the stamp by which an endpoint signs its answers.
 pub const STAMP: &str = "x-mastichaven-response-stamp";
 
-/// Kind under which endpoints are listed.
+/// Kind of endpoint records in the store.
 pub const ENDPOINTS: &str = "servers";
 
-/// The configuration of a service `writer` with a model, a service `desk` and an origin. Paths that begin
-/// with `/stream/`, `/lookup/` and `/booking/` lead to a stream, an idempotent and a non-idempotent route.
+/// Returns a configuration with the model service `writer`, the service `desk` and an origin. The path
+/// prefixes `/stream/`, `/lookup/` and `/booking/` select a streaming, an idempotent and a
+/// non-idempotent route. `resumes` allows resuming streams.
 pub fn configuration(version: u64, keys: &[&str], resumes: bool, origin: SocketAddr) -> Value {
     let route = |name: &str, prefix: &str, kind: &str, service: &str| {
         json!({
@@ -47,7 +48,7 @@
     })
 }
 
-/// The headers of a caller's request.
+/// Returns the headers of a caller's request.
 pub fn caller_headers(id: &str, key: &str) -> [(&'static str, String); 5] {
     [
         ("host", HOST.to_owned()),
@@ -58,7 +59,7 @@
     ]
 }
 
-/// The head of a caller's request as it goes over the wire.
+/// Returns the request head of a caller as sent over the wire.
 pub fn caller_head(path: &str, id: &str, key: &str, body_len: usize) -> String {
     let headers = caller_headers(id, key);
     let lines: String =
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -11,6 +11,7 @@
 //! ```
 
 pub mod datagrams;
+pub mod direct;
 pub mod engine;
 mod engine_cache;
 pub mod origin;
@@ -18,7 +19,6 @@
 pub mod platform;
 pub mod seen;
 mod serve;
-pub mod served;
 
 pub use crate::datagrams::DatagramDoor;
 pub use crate::engine::Engine;
