--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -1,18 +1,19 @@
-//! A model engine: loads versions on order and answers chat completions, streamed or whole.
+//! A fake model engine: loads versions on order and answers chat completions, streamed or as a
+//! whole.
 //!
-//! Beside the calls listed in `mastichaven-node`'s `engine.rs`:
+//! In addition to the calls listed in `mastichaven-node`'s `engine.rs`, it supports:
 //!
 //! | call | effect |
 //! | --- | --- |
 //! | `POST /admin/adapter` `{"name", "load", "fence"}` | loads or drops an adapter |
 //! | `POST /admin/role` `{"role", "fence"}` | sets the role that `/health` shows |
-//! | `GET /cache/events?after=N` | changes of the prefix cache, late and with gaps if told so |
-//! | `POST /faults` | a JSON object with fields of [`EngineFaults`] |
-//! | `GET /faults` | faults and counts |
+//! | `GET /cache/events?after=N` | changes of the prefix cache; faults delay or drop them |
+//! | `POST /faults` | changes the fields of [`EngineFaults`] that the JSON object names |
+//! | `GET /faults` | returns faults and counts |
 //!
-//! Every streamed token names `id` (the request), `prompt` (digest of what was asked) and `weights`:
-//! the digest of the bytes that this engine read from its source and answers from at that moment.
-//! A reader can tell from them mixed or partial weights and crossed answers.
+//! Every streamed token carries `id` (the request), `prompt` (digest of the prompt) and `weights`,
+//! the digest of the bytes that the engine read from its source and has loaded at that moment.
+//! From these, a test detects mixed or partial weights and answers sent to the wrong request.
 
 use std::collections::BTreeSet;
 use std::collections::HashSet;
@@ -29,8 +30,8 @@
 
 use crate::engine_cache::PrefixCache;
 use crate::observer::EndpointEvent;
+use crate::observer::Observed;
 use crate::observer::Observer;
-use crate::observer::OptionalObserver;
 use crate::serve;
 use crate::serve::Server;
 use crate::serve::millis;
@@ -38,24 +39,24 @@
 mod answer;
 mod orders;
 
-/// How an engine behaves.
+/// Capacity and timing of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineProfile {
-    /// Requests it bears at once when warm; one more and it falls over.
+    /// Concurrent requests when warm; one more crashes the engine.
     pub warm_limit: u32,
-    /// Requests it bears at once while cold.
+    /// Concurrent requests while cold; one more crashes the engine.
     pub cold_limit: u32,
-    /// Completed requests after which it is warm.
+    /// Number of completed requests after which the engine is warm.
     pub warm_after: u32,
     /// Time to the first token.
     pub first_token: Duration,
-    /// Further time to the first token for each block of the prompt that is not in its cache.
+    /// Additional time to the first token per prompt block that is not in the prefix cache.
     pub per_block: Duration,
     /// Time between tokens.
     pub per_token: Duration,
-    /// Blocks its prefix cache holds.
+    /// Capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// Whether it refuses orders with an old fence, as some engines do not.
+    /// Whether orders with a stale fencing token are rejected; some engines do not check it.
     pub checks_fence: bool,
 }
 
@@ -74,40 +75,41 @@
     }
 }
 
-/// What an engine does wrong, on demand.
+/// Faults injected into an engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Every call but `/faults` is cut off without an answer.
+    /// Every call except `/faults` is disconnected without an answer.
     pub down: bool,
-    /// Its process ends and starts again, once: everything under way is cut off, nothing is loaded.
+    /// The process restarts once: requests in flight are disconnected and nothing is loaded.
     pub crash: bool,
-    /// It turns cold without a restart, once.
+    /// The engine turns cold once, without a restart.
     pub turn_cold: bool,
-    /// A request whose body contains this text crashes it at its first token; none when empty.
+    /// A request whose body contains this text crashes the engine at its first token; disabled when
+    /// empty.
     pub poison: String,
-    /// Orders are answered with 200 and not carried out.
+    /// Orders are answered with 200 but not carried out.
     pub ignore_orders: bool,
-    /// Every order is refused as if its fence were old.
+    /// Every order is rejected as if its fencing token were stale.
     pub refuse_orders: bool,
-    /// The next orders are carried out and their answers are lost, this many times.
+    /// Number of subsequent orders that are carried out but whose answers are lost.
     pub lose_order_answers: u32,
-    /// A load whose source ends early is taken as whole.
+    /// A load whose source ends early counts as complete.
     pub load_partial: bool,
-    /// Time a load takes beside reading.
+    /// Additional time of a load after its source has been read.
     #[serde(rename = "load_time_ms", with = "millis")]
     pub load_time: Duration,
-    /// `/health` shows the number of running requests as it was this long ago.
+    /// Age of the number of running requests that `/health` reports.
     #[serde(rename = "report_lag_ms", with = "millis")]
     pub report_lag: Duration,
-    /// All times of answers are multiplied by this.
+    /// Factor by which the timing of answers is multiplied.
     pub slow: f64,
-    /// Streams freeze after this many tokens for as long as it is set.
+    /// Answers freeze after this many tokens while this is set.
     pub freeze_after: Option<u64>,
-    /// Cache events are shown this much later.
+    /// Delay with which cache events are published.
     #[serde(rename = "events_lag_ms", with = "millis")]
     pub events_lag: Duration,
-    /// The next cache events are lost, this many.
+    /// Number of subsequent cache events that are lost.
     pub lose_events: u32,
 }
 
@@ -132,45 +134,45 @@
     }
 }
 
-/// Priorities a request may have.
+/// Number of request priorities.
 pub const PRIORITIES: usize = 10;
 
-/// What an engine has done so far.
+/// Counters of an engine since it was created.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct EngineCounts {
-    /// Requests that began.
+    /// Requests received.
     pub begun: u64,
-    /// Requests that ended whole.
+    /// Requests answered completely.
     pub completed: u64,
     /// Tokens sent.
     pub tokens: u64,
-    /// Requests stopped by a cancel.
+    /// Requests stopped by a cancel call.
     pub cancelled: u64,
-    /// Requests whose reader left without a cancel.
+    /// Requests whose client disconnected without a cancel call.
     pub left: u64,
-    /// Requests that resumed after some tokens.
+    /// Requests that resumed after already delivered tokens.
     pub resumed: u64,
-    /// Times it was given more than it bears, and fell over.
+    /// Crashes caused by more concurrent requests than the capacity.
     pub fell_over: u64,
-    /// Times a poisoned request crashed it.
+    /// Crashes caused by a request that matches `poison`.
     pub poisoned: u64,
-    /// Most requests it ever had at once.
+    /// Maximum number of concurrent requests.
     pub most_running: u32,
-    /// Times its process started.
+    /// Process starts, the first one included.
     pub starts: u64,
     /// Orders carried out.
     pub orders: u64,
-    /// Orders refused because of their fence.
+    /// Orders rejected because of their fencing token.
     pub refused_orders: u64,
-    /// Requests begun by priority.
+    /// Requests received, by priority.
     pub by_priority: [u64; PRIORITIES],
-    /// Blocks of prompts found in its cache.
+    /// Prompt blocks found in the prefix cache.
     pub cache_hits: u64,
-    /// Blocks of prompts not found in its cache.
+    /// Prompt blocks missing from the prefix cache.
     pub cache_misses: u64,
 }
 
-/// What is loaded, and what was truly read for it.
+/// The loaded version, and the digest of the bytes that were read for it.
 #[derive(Clone, Debug)]
 struct Weights {
     model: String,
@@ -189,16 +191,16 @@
     role: String,
     fence: (u64, u64),
     running: u32,
-    /// How many ran, and since when; for late running_samples.
+    /// Number of running requests after each change, for delayed reports.
     running_samples: Vec<(Instant, u32)>,
     cancelled: HashSet<String>,
     completed_since_start: u32,
     cache: PrefixCache,
     counts: EngineCounts,
-    observer: OptionalObserver,
+    observer: Observed,
 }
 
-/// Late running_samples kept; the oldest goes first.
+/// Capacity of `State::running_samples`; the oldest sample is evicted first.
 const MAX_RUNNING_SAMPLES: usize = 1_024;
 
 impl State {
@@ -232,7 +234,7 @@
         self.running_samples.push((Instant::now(), running));
     }
 
-    /// The number of running requests as it was `report_lag` ago.
+    /// Returns the number of running requests as of `report_lag` ago.
     fn lagged_running(&self, now: Instant) -> u32 {
         let lag = self.faults.report_lag;
         let is_old_enough =
@@ -252,7 +254,7 @@
     }
 }
 
-/// A running engine.
+/// A running fake engine; dropping it stops it.
 #[derive(Debug)]
 pub struct Engine {
     state: Arc<Mutex<State>>,
@@ -260,7 +262,7 @@
 }
 
 impl Engine {
-    /// Starts on `address`. `start_id` names its first life.
+    /// Starts the engine on `address`. `start_id` identifies the process until its first restart.
     pub fn start(address: &str, profile: EngineProfile, start_id: u64) -> io::Result<Engine> {
         let state = Arc::new(Mutex::new(State {
             profile,
@@ -276,34 +278,34 @@
             completed_since_start: 0,
             cache: PrefixCache::default(),
             counts: EngineCounts { starts: 1, ..EngineCounts::default() },
-            observer: OptionalObserver::default(),
+            observer: Observed::default(),
         }));
         let handler_state = state.clone();
         let server = serve::start(address, move |req| answer::answer(&handler_state, req))?;
         Ok(Engine { state, server })
     }
 
-    /// Its base address.
+    /// Base URL of the engine.
     pub fn base(&self) -> String {
         format!("http://{}", self.server.address)
     }
 
-    /// What it has done so far.
+    /// Current values of the counters.
     pub fn counts(&self) -> EngineCounts {
         lock(&self.state).counts
     }
 
-    /// Digest of the bytes it read for what it has loaded.
+    /// Digest of the bytes read for the loaded version; `None` if nothing is loaded.
     pub fn weights(&self) -> Option<Digest> {
         lock(&self.state).loaded.as_ref().map(|weights| weights.digest)
     }
 
-    /// Requests it works on at present.
+    /// Number of requests in flight.
     pub fn running(&self) -> u32 {
         lock(&self.state).running
     }
 
-    /// Changes what it does wrong.
+    /// Changes the injected faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut EngineFaults)) {
         let mut state = lock(&self.state);
         let mut faults = state.faults.clone();
@@ -311,27 +313,27 @@
         state.set_faults(faults);
     }
 
-    /// Tells `observer` what it sees from now on.
+    /// Reports later events to `observer`.
     pub fn observe(&self, observer: Observer) {
-        lock(&self.state).observer = OptionalObserver(Some(observer));
+        lock(&self.state).observer = Observed(Some(observer));
     }
 
-    /// Changes how it behaves.
+    /// Changes the profile.
     pub fn set_profile(&self, change: impl FnOnce(&mut EngineProfile)) {
         change(&mut lock(&self.state).profile);
     }
 
-    /// Ends its process and starts it again: cold, and with nothing loaded.
+    /// Restarts the process: the engine is cold and has nothing loaded.
     pub fn crash(&self) {
         lock(&self.state).restart();
     }
 
-    /// Turns cold without a restart.
+    /// Turns the engine cold without a restart.
     pub fn turn_cold(&self) {
         lock(&self.state).completed_since_start = 0;
     }
 
-    /// Answers orders with 200 and does nothing.
+    /// While `ignore`, orders are answered with 200 but not carried out.
     pub fn ignore_orders(&self, ignore: bool) {
         lock(&self.state).faults.ignore_orders = ignore;
     }
--- a/standins/src/engine/answer.rs
+++ b/standins/src/engine/answer.rs
@@ -1,4 +1,4 @@
-//! What an engine answers: health, faults, cache events and chat completions.
+//! Request handlers of the engine: health, faults, cache events and chat completions.
 
 use std::sync::Mutex;
 use std::thread;
@@ -22,10 +22,10 @@
 use crate::serve::BodyWriter;
 use crate::serve::Req;
 
-/// Tokens of an answer when the request names no number.
+/// Default of `max_tokens`.
 const DEFAULT_TOKENS: u64 = 8;
 
-/// How often a frozen stream looks whether it may go on.
+/// Interval at which a frozen answer checks whether it may continue.
 const FREEZE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 pub(super) fn answer(state: &Mutex<State>, req: Req) {
@@ -78,7 +78,7 @@
     req.respond_json(&state.cache.events(after, state.faults.events_lag, Instant::now()));
 }
 
-/// One completion under way.
+/// A completion in progress.
 struct Completion {
     id: String,
     start_id: u64,
@@ -91,13 +91,13 @@
     tokens: u64,
     resume: u64,
     is_poisoned: bool,
-    /// What the last message asks for; names this completion to observers.
+    /// Content of the last message; identifies the completion to observers.
     work: String,
 }
 
-/// Why a completion ended before its last token.
+/// Why a completion was interrupted before its last token.
 enum Interruption {
-    /// The engine's process ended, or has nothing loaded any more.
+    /// The engine's process restarted, or the weights were unloaded.
     EngineRestarted,
     Cancelled,
     Disconnected,
@@ -127,7 +127,8 @@
     }
 }
 
-/// Enters the batch; one request too many and the engine falls over, with all that run.
+/// Adds a request to the batch. A request above the capacity crashes the engine and with it all
+/// running requests.
 fn admit(state: &mut State, req: &Req, body: &Value) -> Option<Completion> {
     state.counts.begun += 1;
     let priority: usize = req.header("x-priority").and_then(|text| text.parse().ok()).unwrap_or(0);
@@ -179,7 +180,7 @@
     })
 }
 
-/// The text that the prefix cache goes by: role and content of each message, a line each.
+/// Returns the key text of the prefix cache: role and content of each message on a line of its own.
 fn prompt_text_of(body: &Value) -> String {
     let mut text = String::new();
     for message in body["messages"].as_array().into_iter().flatten() {
@@ -197,7 +198,8 @@
 }
 
 impl Completion {
-    /// Leaves the batch, unless the process that had it has ended.
+    /// Removes the request from the batch. Returns false if the engine has restarted since it was
+    /// admitted.
     fn release(&self, state: &mut State, whole: bool) -> bool {
         state.cancelled.remove(&self.id);
         let is_current = state.start_id == self.start_id;
@@ -210,8 +212,8 @@
         is_current
     }
 
-    /// Makes room for another request. This comes before the answer's last bytes, as whoever has
-    /// them may send the next request at once.
+    /// Frees the request's place in the batch. This happens before the last bytes of the answer are
+    /// sent, because the client may send its next request as soon as it has received them.
     fn finish(&self, state: &Mutex<State>) -> Result<(), Interruption> {
         let mut state = lock(state);
         if !self.release(&mut state, true) {
@@ -226,7 +228,7 @@
         (self.profile.first_token + self.profile.per_block * uncached_blocks).mul_f64(self.slow)
     }
 
-    /// Waits for the first token; a poisoned request crashes the engine here.
+    /// Waits for the first token. A request that matches `poison` crashes the engine here.
     fn prefill(&self, state: &Mutex<State>) {
         thread::sleep(self.first_token_delay());
         if self.is_poisoned {
@@ -238,7 +240,7 @@
         }
     }
 
-    /// The event of one token, naming the weights that are loaded at this moment.
+    /// Returns the event of one token with the weights that are loaded at this moment.
     fn next_token_event(&self, state: &Mutex<State>, token: u64) -> Result<Value, Interruption> {
         let mut state = lock(state);
         if state.start_id != self.start_id {
@@ -259,7 +261,8 @@
         }))
     }
 
-    /// The pause after a token; a frozen stream stays in it until its reader leaves.
+    /// Waits after a token. A frozen answer waits until the fault is cleared, the request is cancelled
+    /// or the client disconnects.
     fn pause(
         &self,
         state: &Mutex<State>,
--- a/standins/src/engine/orders.rs
+++ b/standins/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine: load, unload, adapters, role, cancel.
+//! Order handlers of the engine: load, unload, adapter, role and cancel.
 
 use std::io::Read;
 use std::sync::Mutex;
@@ -14,10 +14,10 @@
 use crate::observer::EndpointEvent;
 use crate::serve::Req;
 
-/// Seconds that reading a version may take.
+/// Timeout of reading a version from its source.
 const READ_TIMEOUT_SECONDS: u64 = 600;
 
-/// Bytes read from a source at a time.
+/// Size of the buffer for reading a source.
 const READ_BUFFER_LEN: usize = 64 << 10;
 
 #[derive(Debug, Deserialize)]
@@ -52,7 +52,7 @@
     id: String,
 }
 
-/// What an order comes to before it is carried out.
+/// How an order is handled.
 enum OrderDecision {
     Execute,
     Ignore,
@@ -74,7 +74,7 @@
     OrderDecision::Execute
 }
 
-/// Reads an order, judges it and carries it out with `execute`.
+/// Parses an order, checks its fencing token and carries it out with `execute`.
 fn handle_order<T: DeserializeOwned>(
     state: &Mutex<State>,
     req: Req,
@@ -106,8 +106,8 @@
     handle_order(state, req, |order: &Load| &order.fence, |order| load_weights(state, order));
 }
 
-/// Reads the source and answers from what was read, from then on. An engine trusts its source: it
-/// only notes the digest of the bytes.
+/// Loads the bytes of the source. The engine trusts its source and only records the digest of the
+/// bytes.
 fn load_weights(state: &Mutex<State>, order: Load) -> bool {
     let (start_id, allow_partial, load_time) = {
         let state = lock(state);
@@ -129,7 +129,8 @@
     true
 }
 
-/// Digest of the bytes of `source`. With `allow_partial`, bytes that end early count as all.
+/// Returns the digest of the bytes of `source`. With `allow_partial`, a truncated source counts as
+/// complete.
 fn hash_source(source: &str, allow_partial: bool) -> Option<Digest> {
     let response = minreq::get(source).with_timeout(READ_TIMEOUT_SECONDS).send_lazy().ok()?;
     if response.status_code != 200 {
@@ -151,7 +152,7 @@
             Err(_) => return None,
         }
     }
-    // minreq does not tell an answer that ends early from a whole one.
+    // minreq does not report a truncated answer as an error.
     if left != Some(0) && !allow_partial {
         return None;
     }
@@ -187,7 +188,7 @@
     handle_order(state, req, |order: &Role| &order.fence, execute);
 }
 
-/// Stops the stream of a request at its next token.
+/// Stops the answer to a request at its next token.
 pub(super) fn cancel(state: &Mutex<State>, req: Req) {
     let Ok(order) = serde_json::from_slice::<Cancel>(&req.body) else {
         return req.respond(400, &[], "");
--- a/standins/src/engine_cache.rs
+++ b/standins/src/engine_cache.rs
@@ -1,4 +1,4 @@
-//! An engine's prefix cache: bounded, least recently used first out, with published events.
+//! A bounded LRU prefix cache that publishes its changes as events.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,44 +10,44 @@
 /// Bytes of prompt text in one block of the cache.
 pub(crate) const BLOCK_LEN: usize = 64;
 
-/// Events kept for readers.
+/// Number of events kept for readers.
 const MAX_EVENTS: usize = 4_096;
 
-/// One change of the cache, as published.
+/// A published change of the cache.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct CacheEvent {
-    /// Counts events from 1; a gap means that some were lost.
+    /// Sequence number from 1; a gap means that events were lost.
     sequence: u64,
     /// Digest of the prompt up to the end of the block, in hexadecimal.
     block: String,
-    /// Whether the block came in; it went out otherwise.
+    /// Whether the block was inserted; it was evicted otherwise.
     added: bool,
     #[serde(skip)]
     published_at: Instant,
 }
 
-/// The events after a number that are old enough to be shown.
+/// Events after a sequence number that are old enough to be published.
 #[derive(Debug, Serialize)]
 pub(crate) struct CacheEvents {
-    /// Ask for the events after this number next.
+    /// Sequence number after which the next query continues.
     next: u64,
     events: Vec<CacheEvent>,
 }
 
-/// Blocks of prompts that need no computing again.
+/// Prompt blocks that need not be recomputed.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
-    /// Least recently used first.
+    /// Blocks, least recently used first.
     blocks: VecDeque<Digest>,
     events: VecDeque<CacheEvent>,
     sequence: u64,
-    /// The next events are lost, this many.
+    /// Number of subsequent events that are lost.
     pub(crate) lose_events: u32,
 }
 
 impl PrefixCache {
-    /// Takes a prompt in and gives the number of its blocks that were here from its start on.
-    /// O(blocks of the prompt × blocks of the cache), both small.
+    /// Inserts the blocks of a prompt and returns the length of its cached prefix in blocks.
+    /// Takes O(blocks of the prompt × blocks of the cache); both are small.
     pub(crate) fn insert_prompt(&mut self, prompt: &str, limit: usize, now: Instant) -> usize {
         let mut hits = 0;
         let mut has_missed = false;
@@ -73,7 +73,7 @@
         hits
     }
 
-    /// Forgets everything, as an engine that starts again does; numbers start again as well.
+    /// Clears the cache as a restart of the engine does; sequence numbers start again at 1.
     pub(crate) fn clear(&mut self) {
         *self = PrefixCache::default();
     }
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The events after `after` that are at least `lag` old.
+    /// Returns the events after sequence number `after` that are at least `lag` old.
     pub(crate) fn events(&self, after: u64, lag: Duration, now: Instant) -> CacheEvents {
         let is_shown = |event: &&CacheEvent| {
             event.sequence > after && now.saturating_duration_since(event.published_at) >= lag
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -1,4 +1,4 @@
-//! `mastichaven-standins`: runs one stand-in as a process, for trying the programs by hand.
+//! `mastichaven-standins`: runs one stand-in as a process, for manual tests of the programs.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
 use mastichaven_standins::Platform;
 use mastichaven_standins::origin::random_weights;
 
-/// Runs one stand-in until it is ended.
+/// Runs one stand-in until it is terminated.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, version)]
 enum Arguments {
@@ -27,19 +27,19 @@
         #[bpaf(argument("FILE"))]
         hosts: PathBuf,
     },
-    /// The origin of weights; prints the manifest digest of each version it has
+    /// The origin of weights; prints the manifest digest of each of its versions
     #[bpaf(command)]
     Origin {
         /// Address to listen on
         #[bpaf(argument("ADDRESS"))]
         listen: String,
-        /// Bytes a second its link passes
+        /// Bandwidth of its link in bytes per second
         #[bpaf(argument("RATE"), fallback(4_000_000.0))]
         rate: f64,
-        /// Versions of random bytes, the same ones for each seed
+        /// Versions of pseudorandom bytes, the same for each seed
         #[bpaf(argument("SEED:BYTES"))]
         random: Vec<String>,
-        /// Files whose bytes are versions
+        /// Files to serve as versions
         #[bpaf(positional("WEIGHTS"))]
         weights: Vec<PathBuf>,
     },
@@ -59,7 +59,7 @@
     },
 }
 
-/// Bytes of a chunk.
+/// Length of the chunks of a version in bytes.
 const CHUNK_LEN: u32 = 64 << 10;
 
 fn main() -> ExitCode {
@@ -106,7 +106,7 @@
     Ok(())
 }
 
-/// Reads `SEED:BYTES` and makes those bytes.
+/// Parses `SEED:BYTES` and generates that many bytes.
 fn parse_random_weights(text: &str) -> Option<Vec<u8>> {
     let (seed, len) = text.split_once(':')?;
     Some(random_weights(seed.parse().ok()?, len.parse().ok()?))
--- a/standins/src/observer.rs
+++ b/standins/src/observer.rs
@@ -1,4 +1,4 @@
-//! What the endpoints among the stand-ins see, told to whoever checks a run.
+//! Events that fake endpoints report to the checker of a test run.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,46 +6,46 @@
 use mastichaven_core::ids::Digest;
 use mastichaven_core::ids::StartId;
 
-/// One thing that an endpoint saw.
+/// An event at an endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EndpointEvent {
-    /// It took up a request.
+    /// A request began.
     Began {
-        /// What the request asks for: the last message of a prompt, the body of a plain call.
+        /// Content of the request: the last message of a prompt, or the body of a plain call.
         work: String,
-        /// The endpoint's life.
+        /// Identifies the process of the endpoint until its next restart.
         start: StartId,
-        /// Requests it has, this one included.
+        /// Concurrent requests, this one included.
         running: u32,
-        /// Requests it capacity at this moment.
+        /// Concurrent requests that the endpoint can run at this moment.
         capacity: u32,
     },
-    /// It is done with a request.
+    /// A request ended.
     Ended {
-        /// What the request asked for.
+        /// Content of the request, as when it began.
         work: String,
-        /// Whether it answered it to the end.
+        /// Whether the request was answered completely.
         whole: bool,
     },
-    /// Its process ended, with all that it had under way.
+    /// The process restarted; all requests in flight are lost.
     Restarted,
-    /// It loaded a version.
+    /// A version was loaded.
     Loaded {
-        /// The version it was ordered to load, as digits.
+        /// The version named by the load order, as digits.
         version: String,
-        /// Digest of the bytes it read.
+        /// Digest of the bytes that were read.
         weights: Digest,
     },
 }
 
-/// Is told under the stand-in's lock, in the order in which things happen there.
+/// Receives events in the order in which they happen; it is called with the stand-in's lock held.
 pub type Observer = Arc<dyn Fn(EndpointEvent) + Send + Sync>;
 
-/// An observer, if there is one.
+/// An optional observer.
 #[derive(Clone, Default)]
-pub(crate) struct OptionalObserver(pub(crate) Option<Observer>);
+pub(crate) struct Observed(pub(crate) Option<Observer>);
 
-impl OptionalObserver {
+impl Observed {
     pub(crate) fn notify(&self, event: EndpointEvent) {
         if let Some(observer) = &self.0 {
             observer(event);
@@ -53,8 +53,8 @@
     }
 }
 
-impl fmt::Debug for OptionalObserver {
+impl fmt::Debug for Observed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "OptionalObserver({})", self.0.is_some())
+        write!(f, "Observed({})", self.0.is_some())
     }
 }
--- a/standins/src/origin.rs
+++ b/standins/src/origin.rs
@@ -1,7 +1,7 @@
-//! The origin of weights: manifests and chunks behind one limited link.
+//! A fake weights origin that serves manifests and chunks over one bandwidth-limited link.
 //!
-//! `POST /faults` takes a JSON object with fields of [`OriginFaults`]; `GET /faults` shows them and
-//! what has been sent.
+//! `POST /faults` accepts a JSON object with fields of [`OriginFaults`]; `GET /faults` returns faults
+//! and counts.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -30,10 +30,10 @@
 use crate::serve::TokenBucket;
 use crate::serve::millis;
 
-/// How long a stalled object stays silent unless set otherwise.
+/// Default of [`OriginFaults::stall`].
 const DEFAULT_STALL: Duration = Duration::from_secs(60);
 
-/// A link that passes a bounded number of bytes a second, one transfer after the other.
+/// A bandwidth-limited link that serves transfers one after the other.
 #[derive(Debug)]
 pub struct Link {
     bytes_per_second: f64,
@@ -41,12 +41,12 @@
 }
 
 impl Link {
-    /// A link of this rate.
+    /// Creates an idle link.
     pub fn new(bytes_per_second: f64) -> Link {
         Link { bytes_per_second, free_at: Mutex::new(Instant::now()) }
     }
 
-    /// Blocks for as long as `len` bytes take behind what is already on the link.
+    /// Blocks until `len` bytes have been transferred after those already queued.
     pub fn pass(&self, len: usize) {
         let duration = Duration::from_secs_f64(len as f64 / self.bytes_per_second);
         let end = {
@@ -58,36 +58,36 @@
     }
 }
 
-/// `len` bytes that are the same for each `seed`.
+/// Generates `len` pseudorandom bytes, the same for each `seed`.
 pub fn random_weights(seed: u64, len: usize) -> Vec<u8> {
     let mut weights = vec![0; len];
     ChaCha8Rng::seed_from_u64(seed).fill(&mut weights[..]);
     weights
 }
 
-/// What the origin does wrong, on demand.
+/// Faults injected into the origin.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct OriginFaults {
-    /// Everything is refused with 503.
+    /// Every request is answered with 503.
     pub down: bool,
-    /// The next objects are sent with a wrong byte, this many times.
+    /// Number of subsequent objects that are sent with a wrong byte.
     pub corrupt_next: u32,
-    /// The next objects are answered with the bytes of another one, as if the version had been
-    /// changed in mid-flight, this many times.
+    /// Number of subsequent objects that are replaced by another object, as if the version had
+    /// changed during the download.
     pub swap_next: u32,
-    /// The next objects stop after half their bytes, this many times.
+    /// Number of subsequent objects that stall after half of their bytes.
     pub stall_next: u32,
-    /// How long a stalled object stays silent before it is cut off.
+    /// Time for which a stalled object stays open before the connection is closed.
     #[serde(rename = "stall_ms", with = "millis")]
     pub stall: Duration,
-    /// The next requests are answered with 429, this many times.
+    /// Number of subsequent requests that are answered with 429.
     pub limit_next: u32,
-    /// Requests a second before 429 is answered; 0 for no limit.
+    /// Requests per second above which 429 is answered; 0 for no limit.
     pub requests_per_second: f64,
 }
 
-/// What the origin has done so far.
+/// Counters of the origin since its start.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct OriginCounts {
     /// Bytes of objects sent.
@@ -108,7 +108,7 @@
     bucket: TokenBucket,
 }
 
-/// A running origin.
+/// A running fake origin; dropping it stops it.
 #[derive(Debug)]
 pub struct Origin {
     state: Arc<Mutex<State>>,
@@ -116,7 +116,7 @@
 }
 
 impl Origin {
-    /// Starts on `address` with a link of `bytes_per_second`.
+    /// Starts the origin on `address` with a link of `bytes_per_second`.
     pub fn start(address: &str, bytes_per_second: f64) -> io::Result<Origin> {
         let state = Arc::new(Mutex::new(State {
             objects: HashMap::new(),
@@ -132,12 +132,12 @@
         Ok(Origin { state, server })
     }
 
-    /// Its base address.
+    /// Base URL of the origin.
     pub fn base(&self) -> String {
         format!("http://{}", self.server.address)
     }
 
-    /// Puts a version in and gives its manifest.
+    /// Adds a version and returns its manifest.
     pub fn put(&self, weights: &[u8], chunk_len: u32) -> Manifest {
         let manifest = Manifest::from_weights(weights, chunk_len);
         let mut state = lock(&self.state);
@@ -148,42 +148,42 @@
         manifest
     }
 
-    /// Bytes sent so far.
+    /// Number of object bytes sent so far.
     pub fn sent(&self) -> u64 {
         self.counts().sent
     }
 
-    /// What it has done so far.
+    /// Current values of the counters.
     pub fn counts(&self) -> OriginCounts {
         lock(&self.state).counts
     }
 
-    /// Changes what it does wrong.
+    /// Changes the injected faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut OriginFaults)) {
         change(&mut lock(&self.state).faults);
     }
 
-    /// Base address for one host, so that its pulls can be counted and cut off.
+    /// Base URL for one host, so that its requests can be counted and refused separately.
     pub fn base_for(&self, host: &str) -> String {
         format!("{}/from/{host}", self.base())
     }
 
-    /// Bytes sent so far to each host that uses its own base address.
+    /// Number of bytes sent per host, for hosts that use the URL of [`Origin::base_for`].
     pub fn sent_to(&self) -> BTreeMap<String, u64> {
         self.state.lock().expect("no holder of this lock panics").sent_to.clone()
     }
 
-    /// Refuses everything that these hosts ask.
+    /// Refuses all requests of these hosts.
     pub fn set_refused_hosts(&self, hosts: Vec<String>) {
         self.state.lock().expect("no holder of this lock panics").refused_hosts = hosts;
     }
 
-    /// Corrupts the next `count` objects sent.
+    /// Corrupts the next `count` objects that are sent.
     pub fn corrupt_next(&self, count: u32) {
         self.set_faults(|faults| faults.corrupt_next = count);
     }
 
-    /// Refuses everything while `down`.
+    /// Refuses all requests while `down`.
     pub fn set_down(&self, down: bool) {
         self.set_faults(|faults| faults.down = down);
     }
@@ -193,7 +193,7 @@
     state.lock().expect("no holder of this lock panics")
 }
 
-/// What becomes of one request.
+/// How a request is handled.
 enum Action {
     Refuse(u16),
     Send(Vec<u8>),
--- a/standins/src/plain.rs
+++ b/standins/src/plain.rs
@@ -1,6 +1,6 @@
-//! A plain service whose calls may not be repeated; it counts its runs.
+//! A fake plain service whose calls must not be repeated; it counts its runs.
 //!
-//! `POST /faults` takes a JSON object with fields of [`PlainFaults`]; `GET /faults` shows them and
+//! `POST /faults` accepts a JSON object with fields of [`PlainFaults`]; `GET /faults` returns them and
 //! `GET /runs` the runs.
 
 use std::collections::HashMap;
@@ -17,27 +17,27 @@
 use serde::Serialize;
 
 use crate::observer::EndpointEvent;
+use crate::observer::Observed;
 use crate::observer::Observer;
-use crate::observer::OptionalObserver;
 use crate::serve;
 use crate::serve::Req;
 use crate::serve::Server;
 use crate::serve::millis;
 
-/// What a plain service does wrong, on demand.
+/// Faults injected into a plain service.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlainFaults {
-    /// Every call takes this much longer.
+    /// Additional time of every call.
     #[serde(rename = "delay_ms", with = "millis")]
     pub delay: Duration,
-    /// Everything but `/faults` and `/runs` is cut off without an answer.
+    /// Every call except `/faults` and `/runs` is disconnected without an answer.
     pub down: bool,
-    /// The next calls crash it before they have run, this many times.
+    /// Number of subsequent calls that crash the service before they run.
     pub crash_before_run: u32,
-    /// The next calls crash it after they have run, this many times: the answer is lost.
+    /// Number of subsequent calls that crash the service after they have run; the answer is lost.
     pub crash_after_run: u32,
-    /// The next calls are answered with 500 without having run, this many times.
+    /// Number of subsequent calls that are answered with 500 without running.
     pub fail_next: u32,
 }
 
@@ -48,7 +48,7 @@
     runs: HashMap<String, u32>,
     runs_by_key: HashMap<String, u32>,
     running: u32,
-    observer: OptionalObserver,
+    observer: Observed,
 }
 
 impl State {
@@ -59,7 +59,7 @@
     }
 }
 
-/// A running plain service. The body of a call names what it books.
+/// A running plain service; dropping it stops it. The body of a call names the booking.
 #[derive(Debug)]
 pub struct Plain {
     state: Arc<Mutex<State>>,
@@ -67,7 +67,7 @@
 }
 
 impl Plain {
-    /// Starts on `address`. `start_id` names its first life.
+    /// Starts the service on `address`. `start_id` identifies the process until its first restart.
     pub fn start(address: &str, start_id: u64) -> io::Result<Plain> {
         let state = Arc::new(Mutex::new(State { start_id, ..State::default() }));
         let handler_state = state.clone();
@@ -75,38 +75,38 @@
         Ok(Plain { state, server })
     }
 
-    /// Its base address.
+    /// Base URL of the service.
     pub fn base(&self) -> String {
         format!("http://{}", self.server.address)
     }
 
-    /// Changes what it does wrong.
+    /// Changes the injected faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut PlainFaults)) {
         change(&mut lock(&self.state).faults);
     }
 
-    /// Makes every call take this long.
+    /// Sets the delay of every call.
     pub fn set_delay(&self, delay: Duration) {
         lock(&self.state).faults.delay = delay;
     }
 
-    /// Ends its process and starts it again; calls under way are cut off, those that have begun
-    /// have run.
+    /// Restarts the process. Calls in flight are disconnected, but those that have begun count as
+    /// run.
     pub fn crash(&self) {
         lock(&self.state).restart();
     }
 
-    /// Tells `observer` what it sees from now on.
+    /// Reports later events to `observer`.
     pub fn observe(&self, observer: Observer) {
-        lock(&self.state).observer = OptionalObserver(Some(observer));
+        lock(&self.state).observer = Observed(Some(observer));
     }
 
-    /// How often each body was run.
+    /// Number of runs per body.
     pub fn runs(&self) -> HashMap<String, u32> {
         lock(&self.state).runs.clone()
     }
 
-    /// How often each `idempotency-key` was run, for calls that carry one.
+    /// Number of runs per `idempotency-key`, for calls that carry one.
     pub fn runs_by_key(&self) -> HashMap<String, u32> {
         lock(&self.state).runs_by_key.clone()
     }
@@ -145,7 +145,7 @@
     }
 }
 
-/// What becomes of a call when it begins.
+/// How a call is handled, decided when it begins.
 enum CallOutcome {
     CrashBefore,
     Fail,
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -1,8 +1,9 @@
-//! The platform: an object API with versions, conditional updates and watches, and a host list.
+//! A fake platform: an object API with revisions, conditional writes and watches, and a host list.
 //!
-//! `POST /faults` takes a JSON object with fields of [`PlatformFaults`]; `GET /faults` shows them
-//! and the calls counted; `PUT /v1/hosts` replaces the list of hosts. A [`PlatformProxy`] is a second address
-//! of the same platform that can be is_partitioned off alone, as a zone is by a network partition.
+//! `POST /faults` accepts a JSON object with fields of [`PlatformFaults`]; `GET /faults` returns
+//! faults and call counts; `PUT /v1/hosts` replaces the host list. A [`PlatformProxy`] is a further
+//! address of the same platform that can be partitioned on its own, as a zone is by a network
+//! partition.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -35,33 +36,34 @@
 use crate::serve::TokenBucket;
 use crate::serve::millis;
 
-/// Changes kept for watches unless set otherwise; older ones are compacted_revision.
+/// Default of [`PlatformFaults::kept_changes`].
 const DEFAULT_KEPT_CHANGES: usize = 10_000;
 
-/// How long a call through a is_partitioned door stays without an answer before it is dropped.
+/// Time for which a call through a partitioned proxy stays open before its connection is closed.
 const PARTITION_HOLD_TIME: Duration = Duration::from_secs(5);
 
-/// How often a call through a is_partitioned door looks whether it is still is_partitioned.
+/// Interval at which a call through a partitioned proxy checks whether the partition has ended.
 const PARTITION_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the platform does wrong, on demand.
+/// Faults injected into the platform.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Every call is refused with 503; waiting watches too.
+    /// Every call is answered with 503, waiting watches included.
     pub down: bool,
-    /// Every call takes this much longer.
+    /// Additional time of every call.
     #[serde(rename = "delay_ms", with = "millis")]
     pub delay: Duration,
-    /// The next writes take effect and their answers are lost, this many times.
+    /// Number of subsequent writes that take effect but whose answers are lost.
     pub lose_answers: u32,
-    /// The next watches are told that their history is gone, this many times.
+    /// Number of subsequent watches that are answered as if their history had been compacted.
     pub watch_gaps: u32,
-    /// Changes kept for watches; older ones are compacted_revision.
+    /// Number of changes kept for watches; older ones are compacted.
     pub kept_changes: usize,
-    /// CallCounts a second, a waiting watch as one, before 429 is answered; 0 for no limit.
+    /// Calls per second above which 429 is answered; a waiting watch counts as one call. 0 for no
+    /// limit.
     pub calls_per_second: f64,
-    /// The list of hosts is shown as it was this long ago.
+    /// Age of the host list that is returned.
     #[serde(rename = "hosts_lag_ms", with = "millis")]
     pub hosts_lag: Duration,
 }
@@ -80,7 +82,7 @@
     }
 }
 
-/// A list of hosts and when it was set.
+/// A host list and the time at which it was set.
 #[derive(Debug)]
 struct HostList {
     set_at: Instant,
@@ -121,7 +123,7 @@
         }
     }
 
-    /// The list as it was `hosts_lag` ago.
+    /// Returns the host list as of `hosts_lag` ago.
     fn lagged_hosts(&self, now: Instant) -> Vec<ListedHost> {
         let lag = self.faults.hosts_lag;
         let is_old_enough = |list: &&HostList| now.saturating_duration_since(list.set_at) >= lag;
@@ -146,20 +148,20 @@
     }
 }
 
-/// CallCounts the platform has counted.
+/// Counters of the calls to the platform.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct CallCounts {
-    /// Reads and lists.
+    /// Reads and lists of objects, and reads of the host list.
     pub reads: u64,
-    /// Writes and deletes.
+    /// Writes and deletions of objects.
     pub writes: u64,
-    /// Watches.
+    /// Watches, each counted once however long it waits.
     pub watches: u64,
-    /// CallCounts refused with 429.
+    /// Calls answered with 429.
     pub throttled: u64,
 }
 
-/// A further address of a platform, which can be is_partitioned off alone.
+/// A further address of a platform that can be partitioned on its own.
 #[derive(Debug)]
 pub struct PlatformProxy {
     is_partitioned: Arc<AtomicBool>,
@@ -167,12 +169,12 @@
 }
 
 impl PlatformProxy {
-    /// Its base address.
+    /// Base URL of the proxy.
     pub fn base(&self) -> String {
         format!("http://{}", self.server.address)
     }
 
-    /// Lets no call through and answers none while `is_partitioned`.
+    /// While `is_partitioned`, calls neither reach the platform nor are answered.
     pub fn set_partitioned(&self, is_partitioned: bool) {
         self.is_partitioned.store(is_partitioned, Ordering::Release);
     }
@@ -189,7 +191,7 @@
     }
 }
 
-/// A running platform.
+/// A running fake platform; dropping it stops it.
 #[derive(Debug)]
 pub struct Platform {
     inner: Arc<Inner>,
@@ -197,7 +199,7 @@
 }
 
 impl Platform {
-    /// Starts on `address`.
+    /// Starts the platform on `address`.
     pub fn start(address: &str) -> io::Result<Platform> {
         let inner = Arc::new(Inner::default());
         let handler_state = inner.clone();
@@ -205,12 +207,12 @@
         Ok(Platform { inner, server })
     }
 
-    /// Its base address.
+    /// Base URL of the platform.
     pub fn base(&self) -> String {
         format!("http://{}", self.server.address)
     }
 
-    /// Opens a further address, such as one for each zone.
+    /// Opens a further address, such as one per zone.
     pub fn open_proxy(&self, address: &str) -> io::Result<PlatformProxy> {
         let is_partitioned = Arc::new(AtomicBool::new(false));
         let (inner, proxy_partitioned) = (self.inner.clone(), is_partitioned.clone());
@@ -219,12 +221,12 @@
         Ok(PlatformProxy { is_partitioned, server })
     }
 
-    /// Replaces the list of hosts.
+    /// Replaces the host list.
     pub fn set_hosts(&self, hosts: Vec<ListedHost>) {
         self.inner.lock().hosts.push(HostList { set_at: Instant::now(), hosts });
     }
 
-    /// Changes what it does wrong.
+    /// Changes the injected faults and wakes waiting watches.
     pub fn set_faults(&self, change: impl FnOnce(&mut PlatformFaults)) {
         let mut state = self.inner.lock();
         change(&mut state.faults);
@@ -233,13 +235,14 @@
         self.inner.changed.notify_all();
     }
 
-    /// CallCounts counted so far.
+    /// Current values of the counters.
     pub fn calls(&self) -> CallCounts {
         self.inner.calls()
     }
 }
 
-/// A call through a is_partitioned door gets no answer; one that waits when the door is is_partitioned is lost as well.
+/// Answers a call through a proxy. While the proxy is partitioned, calls get no answer, including
+/// those that were already waiting when the partition began.
 fn answer_at_proxy(inner: &Inner, is_partitioned: &Arc<AtomicBool>, mut req: Req) {
     req.is_partitioned = Some(is_partitioned.clone());
     if !is_partitioned.load(Ordering::Acquire) {
@@ -363,7 +366,7 @@
     expected.is_some() && present == expected
 }
 
-/// Notes a write for the watches, and says whether its answer is to be lost.
+/// Records a write for the watches. Returns whether its answer is to be lost.
 fn record_change(state: &mut State, key: &str, deleted: bool) -> bool {
     let revision = Revision(state.revision);
     state.changes.push_back(Change { key: SmolStr::new(key), revision, deleted });
--- a/standins/src/serve.rs
+++ b/standins/src/serve.rs
@@ -1,7 +1,7 @@
-//! A small HTTP server: a thread a request, until the stand-in is dropped.
+//! A small HTTP server with one thread per request that runs until the stand-in is dropped.
 //!
-//! hyper speaks HTTP here and not `tiny_http`, because a stand-in must be able to cut a connection
-//! in the middle of an answer; `tiny_http` keeps the connection open when a handler gives up.
+//! It uses hyper rather than `tiny_http`, because a stand-in must be able to close a connection in the
+//! middle of an answer; `tiny_http` keeps the connection open when a handler gives up.
 
 use std::io;
 use std::net::SocketAddr;
@@ -32,18 +32,18 @@
 use serde_json::Value;
 use tokio::net::TcpListener;
 
-/// How often the server looks whether it has been dropped.
+/// Interval at which the server checks whether it has been dropped.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Bytes of a request's body at most.
+/// Upper limit of a request body in bytes.
 const MAX_BODY_LEN: usize = 8 << 20;
 
-/// BodyWriter of an answer waiting for a slow reader.
+/// Frames of an answer that are queued for a slow reader before the writer blocks.
 const MAX_QUEUED_FRAMES: usize = 16;
 
 type AnswerBody = BoxBody<Bytes, io::Error>;
 
-/// A running server; dropping it stops it and cuts its connections.
+/// A running server; dropping it stops it and closes its connections.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) address: SocketAddr,
@@ -60,35 +60,35 @@
     }
 }
 
-/// A request and the way to answer it; dropping it unanswered cuts the connection.
+/// A request and the channel for its answer; dropping it unanswered closes the connection.
 pub(crate) struct Req {
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) query: String,
     pub(crate) body: Bytes,
-    /// While set, an answer is lost on its way.
+    /// While set, answers are lost and the connection is closed.
     pub(crate) is_partitioned: Option<Arc<AtomicBool>>,
     headers: HeaderMap,
     response_tx: flume::Sender<Response<AnswerBody>>,
 }
 
 impl Req {
-    /// The value of a header.
+    /// Returns the value of a header; `None` if it is missing or not text.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// The value of a query parameter.
+    /// Returns the raw value of a query parameter.
     pub(crate) fn query(&self, name: &str) -> Option<&str> {
         self.query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// Whether the asker has left.
+    /// Whether the client has disconnected.
     pub(crate) fn is_disconnected(&self) -> bool {
         self.response_tx.is_disconnected()
     }
 
-    /// Answers with a status, headers and a is_complete body.
+    /// Answers with a status, headers and a complete body.
     pub(crate) fn respond(self, status: u16, headers: &[(&str, &str)], body: impl Into<Bytes>) {
         if self
             .is_partitioned
@@ -108,7 +108,7 @@
         self.respond(200, &[("content-type", "application/json")], body);
     }
 
-    /// Sends status and headers; the body follows in pieces.
+    /// Sends status and headers; the returned writer sends the body.
     pub(crate) fn stream(self, status: u16, headers: &[(&str, &str)]) -> BodyWriter {
         let (tx, rx) = flume::bounded(MAX_QUEUED_FRAMES);
         let body = BodyExt::boxed(StreamBody::new(rx.into_stream()));
@@ -117,24 +117,24 @@
     }
 }
 
-/// The body of an answer under way; dropping it before [`BodyWriter::finish`] cuts the connection.
+/// Writer of a streamed body; dropping it before [`BodyWriter::finish`] breaks the connection.
 pub(crate) struct BodyWriter {
     tx: flume::Sender<io::Result<Frame<Bytes>>>,
     is_complete: bool,
 }
 
 impl BodyWriter {
-    /// Sends some bytes at once; false when the reader has left.
+    /// Sends bytes immediately. Returns false if the client has disconnected.
     pub(crate) fn send(&self, bytes: impl Into<Bytes>) -> bool {
         self.tx.send(Ok(Frame::data(bytes.into()))).is_ok()
     }
 
-    /// Whether the reader has left.
+    /// Whether the client has disconnected.
     pub(crate) fn is_disconnected(&self) -> bool {
         self.tx.is_disconnected()
     }
 
-    /// Ends the body as is_complete.
+    /// Ends the body as complete.
     pub(crate) fn finish(mut self) {
         self.is_complete = true;
     }
@@ -148,7 +148,7 @@
     }
 }
 
-/// Keeps an answer open and silent for `duration`, or until its reader leaves.
+/// Keeps an answer open without sending for `duration`, or until the client disconnects.
 pub(crate) fn hold_open(body: &BodyWriter, duration: Duration) {
     let end = Instant::now() + duration;
     while Instant::now() < end && !body.is_disconnected() {
@@ -164,7 +164,7 @@
     response.body(body).expect("stand-ins send valid headers")
 }
 
-/// Binds `address` and answers each request with `answer` on a thread of its own.
+/// Binds `address` and calls `answer` for each request on a thread of its own.
 pub(crate) fn start(
     address: &str,
     answer: impl Fn(Req) + Send + Sync + 'static,
@@ -219,7 +219,8 @@
     rx.recv_async().await.map_err(|_| io::ErrorKind::ConnectionReset.into())
 }
 
-/// `faults` with the fields that `change`, a JSON object, names; `None` if one is not known.
+/// Returns `faults` with the fields of the JSON object `change` replaced. Returns `None` if `change`
+/// is malformed or names an unknown field.
 pub(crate) fn with_changes<T: DeserializeOwned + Serialize>(
     faults: &T,
     change: &[u8],
@@ -233,7 +234,7 @@
     serde_json::from_value(value).ok()
 }
 
-/// Spans as is_complete milliseconds in JSON.
+/// Serializes durations as whole milliseconds.
 pub(crate) mod millis {
     use std::time::Duration;
 
@@ -250,7 +251,7 @@
     }
 }
 
-/// A bucket that passes `rate` calls a second, refilled by the caller's clock.
+/// A token bucket that limits the call rate; the caller passes rate and clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -258,12 +259,12 @@
 }
 
 impl TokenBucket {
-    /// A bucket that lets one second's worth through at once.
+    /// A full bucket, which admits the calls of one second as a burst.
     pub(crate) fn full(now: Instant) -> TokenBucket {
         TokenBucket { tokens: f64::MAX, refilled_at: now }
     }
 
-    /// Takes one call, or says that it is is_stopped the rate.
+    /// Takes one token. Returns false if the call exceeds `rate` per second.
     pub(crate) fn try_take(&mut self, rate: f64, now: Instant) -> bool {
         let refilled = now.saturating_duration_since(self.refilled_at).as_secs_f64() * rate;
         self.tokens = (self.tokens + refilled).min(rate.max(1.0));
--- a/standins/src/udp_proxy.rs
+++ b/standins/src/udp_proxy.rs
@@ -1,5 +1,5 @@
-//! A forwarder to a process's UDP port that can fail as networks do: is_partitioned off in silence, is_partitioned off from
-//! some peers, or with no memory of the connections that were open.
+//! A UDP proxy in front of a process that injects network faults: a partition from all peers or
+//! from some of them, or the loss of all open connections.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -14,13 +14,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a thread looks whether the forwarder has been dropped.
+/// Interval at which a thread checks whether the proxy has been dropped.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Bytes of a datagram at most.
+/// Upper limit of a datagram in bytes.
 const MAX_DATAGRAM_LEN: usize = 65_536;
 
-/// Bytes of a QUIC connection id, as the project's processes choose it.
+/// Length of the QUIC connection ids that the project's processes choose.
 const CONNECTION_ID_LEN: usize = 8;
 
 type ConnectionId = [u8; CONNECTION_ID_LEN];
@@ -36,7 +36,7 @@
 }
 
 impl State {
-    /// Whether a datagram of `peer`, in either direction, gets through.
+    /// Whether to forward a datagram from or to `peer`. Counts its bytes if so.
     fn should_forward(&mut self, peer: SocketAddr, datagram: &[u8]) -> bool {
         let Some(id) = parse_connection_id(datagram) else {
             return false;
@@ -50,7 +50,7 @@
     }
 }
 
-/// The connection that a QUIC datagram belongs to.
+/// Parses the destination connection id of a QUIC datagram.
 fn parse_connection_id(datagram: &[u8]) -> Option<ConnectionId> {
     const LONG_HEADER: u8 = 0x80;
     const LONG_HEADER_ID_OFFSET: usize = 6;
@@ -58,7 +58,8 @@
     datagram.get(offset..offset + CONNECTION_ID_LEN)?.try_into().ok()
 }
 
-/// A forwarder to one process. Peers use its address in place of the process's own.
+/// A proxy for one process; peers use its address in place of the process's own. Dropping it stops
+/// it.
 #[derive(Debug)]
 pub struct UdpProxy {
     address: SocketAddr,
@@ -73,7 +74,8 @@
 }
 
 impl UdpProxy {
-    /// Opens a forwarder at a free port of `address`, such as `127.0.0.1:0`; it leads nowhere yet.
+    /// Opens a proxy on `address`, such as `127.0.0.1:0` for a free port. Datagrams are dropped until
+    /// a target is set.
     pub fn open(address: &str) -> io::Result<UdpProxy> {
         let peer_socket = Arc::new(UdpSocket::bind(address)?);
         peer_socket.set_read_timeout(Some(POLL_INTERVAL))?;
@@ -85,32 +87,32 @@
         Ok(UdpProxy { address, state, stopped })
     }
 
-    /// The address that peers use.
+    /// Address that peers use.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes that got through so far, in both directions.
+    /// Number of bytes forwarded so far in both directions.
     pub fn forwarded_bytes(&self) -> u64 {
         lock(&self.state).forwarded_bytes
     }
 
-    /// Leads to the process at `target` from now on.
+    /// Forwards later datagrams to the process at `target`.
     pub fn set_target(&self, target: SocketAddr) {
         lock(&self.state).target = Some(target);
     }
 
-    /// Drops everything in silence while `is_partitioned`, as when the host has died.
+    /// Silently drops all datagrams while `is_partitioned`, as if the host had died.
     pub fn set_partitioned(&self, is_partitioned: bool) {
         lock(&self.state).is_partitioned = is_partitioned;
     }
 
-    /// Drops in silence what these peers send and what they would get, and nothing else.
+    /// Silently drops the datagrams from and to `peers` and forwards all others.
     pub fn set_partitioned_peers(&self, peers: impl IntoIterator<Item = SocketAddr>) {
         lock(&self.state).partitioned_peers = peers.into_iter().collect();
     }
 
-    /// Forgets the connections that are open: they stay silent for good, while new ones work.
+    /// Silently drops all later datagrams of the connections that are open now; new connections work.
     pub fn blackhole_connections(&self) {
         let mut state = lock(&self.state);
         let seen_connections = std::mem::take(&mut state.seen_connections);
@@ -159,7 +161,8 @@
         }
     }
 
-    /// A socket that stands for `peer` towards the process, and the thread that takes its upstream_rx.
+    /// Opens the socket that represents `peer` towards the process, and starts the thread that
+    /// forwards the process's datagrams to `peer`.
     fn open_upstream(&self, peer: SocketAddr) -> io::Result<Arc<UdpSocket>> {
         let upstream = Arc::new(UdpSocket::bind(SocketAddr::new(peer.ip(), 0))?);
         upstream.set_read_timeout(Some(POLL_INTERVAL))?;
--- a/standins/tests/faults/engine.rs
+++ b/standins/tests/faults/engine.rs
@@ -1,4 +1,4 @@
-//! The model engine.
+//! Tests of the engine.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -17,7 +17,7 @@
 use crate::post;
 use crate::send;
 
-/// An engine that has loaded `weights`, and the origin it read them from.
+/// Starts an engine that has loaded `weights`, and the origin that served them.
 fn start_loaded(weights: &[u8]) -> (Engine, Origin) {
     let origin = Origin::start(ANY_PORT, 1e9).unwrap();
     let engine = Engine::start(ANY_PORT, EngineProfile::default(), 7).unwrap();
@@ -40,7 +40,7 @@
         .with_timeout(20)
 }
 
-/// The events of a stream up to its end or its cut.
+/// Reads the events of a stream, and whether it ended completely rather than broke off.
 fn read_events(
     response: minreq::ResponseLazy,
     mut on_event: impl FnMut(usize),
@@ -64,8 +64,8 @@
 
 #[test]
 fn stream_during_load_reports_both_weights() {
-    // An engine is ordered to load another version while it streams an answer. The rest of that
-    // answer comes from the new weights, and the tokens say so.
+    // An engine loads another version while it streams an answer. The remaining tokens come from the
+    // new weights and carry their digest.
     let (engine, origin) = start_loaded(b"old weights");
     let response = completion_request(&engine, &json!({"stream": true, "max_tokens": 20}))
         .send_lazy()
@@ -83,8 +83,8 @@
 
 #[test]
 fn load_partial_reports_digest_of_bytes_read() {
-    // The link to the source breaks half-way and the engine takes what it has for the whole model.
-    // Its answers look healthy; only the digest of what it read tells.
+    // The connection to the source breaks halfway, and the engine treats the bytes as the complete
+    // model. Only the digest of the bytes shows the fault.
     let (engine, origin) = start_loaded(b"old weights");
     engine.set_faults(|faults| faults.load_partial = true);
     origin.set_faults(|faults| {
@@ -97,7 +97,7 @@
 
 #[test]
 fn load_of_truncated_source_fails() {
-    // The same broken link, and an engine that minds. It keeps what it had.
+    // The connection to the source breaks halfway, and the engine detects it and keeps its weights.
     let (engine, origin) = start_loaded(b"old weights");
     origin.set_faults(|faults| {
         faults.stall_next = 1;
@@ -109,8 +109,8 @@
 
 #[test]
 fn poison_aborts_all_requests() {
-    // One request makes the engine's process end. Every request running concurrent it is cut off too,
-    // and the engine comes back cold, with another start id and nothing loaded.
+    // A request crashes the engine's process. All concurrent requests are aborted, and the engine
+    // restarts cold, with a new start id and nothing loaded.
     let (engine, _origin) = start_loaded(b"weights");
     engine.set_faults(|faults| faults.poison = "crash me".to_owned());
     let concurrent = completion_request(&engine, &json!({"stream": true, "max_tokens": 1000}))
@@ -130,7 +130,7 @@
 
 #[test]
 fn cancel_stops_frozen_stream() {
-    // A stream stops sending tokens without ending. A cancel frees its place in the engine.
+    // A stream stops sending tokens without ending. A cancel call frees its place in the engine.
     let (engine, _origin) = start_loaded(b"weights");
     engine.set_faults(|faults| faults.freeze_after = Some(3));
     let response = completion_request(&engine, &json!({"stream": true, "max_tokens": 20}))
@@ -151,7 +151,8 @@
 
 #[test]
 fn cache_events_show_gaps() {
-    // Events of the prefix cache get lost. The numbers show the gap, and the cache is still right.
+    // Events of the prefix cache are lost. The sequence numbers show the gap, and the cache stays
+    // correct.
     let (engine, _origin) = start_loaded(b"weights");
     engine.set_faults(|faults| faults.lose_events = 1);
     let long = "x".repeat(200);
--- a/standins/tests/faults/main.rs
+++ b/standins/tests/faults/main.rs
@@ -1,19 +1,19 @@
-//! Each stand-in fails as it is told to, and not otherwise.
+//! Tests that each stand-in injects exactly the faults that are set.
 
 mod engine;
 mod origin;
 mod plain;
 mod platform;
 
-/// Any free port on loopback.
+/// Address of any free port on loopback.
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// Seconds a call may take; a stand-in that cuts a connection is noticed long before.
+/// Timeout of a call; a closed connection is noticed long before.
 const TIMEOUT_SECONDS: u64 = 20;
 
-/// Sends; a connection that was cut before the answer's head gives `None`.
+/// Sends a request. Returns `None` if the connection was closed before the head of the answer.
 ///
-/// minreq shows such a cut as a status of 503 with a reason of its own.
+/// minreq reports a closed connection as a status of 503 with a reason phrase of its own.
 fn send(req: minreq::Request) -> Option<minreq::Response> {
     let response = req.with_timeout(TIMEOUT_SECONDS).send().ok()?;
     (response.reason_phrase != "Server did not provide a status line").then_some(response)
--- a/standins/tests/faults/origin.rs
+++ b/standins/tests/faults/origin.rs
@@ -1,4 +1,4 @@
-//! The origin of weights.
+//! Tests of the weights origin.
 
 use mastichaven_core::ids::Digest;
 use mastichaven_standins::Origin;
@@ -8,8 +8,8 @@
 
 #[test]
 fn object_faults_apply_once_each() {
-    // The origin answers one chunk with a wrong byte, one with another chunk's bytes, one with
-    // 429, and then well again.
+    // The origin answers one request with a wrong byte, one with another chunk and one with 429. Later
+    // requests are answered correctly.
     let origin = Origin::start(ANY_PORT, 1e9).unwrap();
     origin.put(b"aaaabbbb", 4);
     origin.set_faults(|faults| {
--- a/standins/tests/faults/plain.rs
+++ b/standins/tests/faults/plain.rs
@@ -1,4 +1,4 @@
-//! The plain service.
+//! Tests of the plain service.
 
 use mastichaven_standins::Plain;
 
@@ -7,8 +7,8 @@
 
 #[test]
 fn crash_before_and_after_run_is_indistinguishable() {
-    // The service ends before it has booked, and after. The caller sees the same cut connection
-    // both times; only the count of runs tells them apart.
+    // The service crashes before a booking runs, and after. The caller sees a closed connection both
+    // times; only the number of runs differs.
     let plain = Plain::start(ANY_PORT, 1).unwrap();
     let url = format!("{}/book", plain.base());
     plain.set_faults(|faults| faults.crash_before_run = 1);
--- a/standins/tests/faults/platform.rs
+++ b/standins/tests/faults/platform.rs
@@ -1,4 +1,4 @@
-//! The platform.
+//! Tests of the platform.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
 
 #[test]
 fn lost_answer_leaves_write_in_effect() {
-    // The platform takes a write and its answer is lost. The writer cannot tell it from a write
-    // that never arrived, until it reads back.
+    // A write takes effect but its answer is lost. The writer has to read the object to tell this
+    // from a write that never arrived.
     let platform = Platform::start(ANY_PORT).unwrap();
     platform.set_faults(|faults| faults.lose_answers = 1);
     assert!(create(&platform.base(), "a").is_none());
@@ -27,8 +27,8 @@
 
 #[test]
 fn partitioned_proxy_blocks_calls() {
-    // A zone is cut off from the platform: its writes neither arrive nor are refused, while the
-    // other zones go on.
+    // A zone is partitioned from the platform: its writes neither arrive nor are refused, while other
+    // zones are unaffected.
     let platform = Platform::start(ANY_PORT).unwrap();
     let proxy = platform.open_proxy(ANY_PORT).unwrap();
     proxy.set_partitioned(true);
@@ -40,8 +40,8 @@
 
 #[test]
 fn watch_before_compaction_is_rejected() {
-    // A watcher was away for so long that the changes it missed are gone. It is told so, once it
-    // has listed again it can go on from there.
+    // A watcher missed changes that have been compacted. Its watch is rejected; after a new list it
+    // can watch from there.
     let platform = Platform::start(ANY_PORT).unwrap();
     for key in ["a", "b", "c"] {
         create(&platform.base(), key).unwrap();
