--- a/standins/src/direct/endpoint.rs
+++ b/standins/src/direct/endpoint.rs
@@ -105,8 +105,8 @@
 }
 
 impl FakeEndpoint {
-    /// Starts the endpoint `id` on `address`, with the weights of `version` loaded and staged if it is
-    /// given.
+    /// Starts the endpoint `id` on `address`, with the weights of `version` loaded and staged if it
+    /// is given.
     pub fn start(address: &str, id: &str, version: Option<u64>) -> io::Result<FakeEndpoint> {
         let state = State { version, staged: staged_chunks(version), ..State::default() };
         let shared = Arc::new(Shared { id: id.to_owned(), state: Mutex::new(state) });
--- a/standins/src/direct/site.rs
+++ b/standins/src/direct/site.rs
@@ -16,8 +16,8 @@
 /// Kind of endpoint records in the store.
 pub const ENDPOINTS: &str = "servers";
 
-/// Returns a configuration with the model service `writer`, the service `desk` and an origin. The path
-/// prefixes `/stream/`, `/lookup/` and `/booking/` select a streaming, an idempotent and a
+/// Returns a configuration with the model service `writer`, the service `desk` and an origin. The
+/// path prefixes `/stream/`, `/lookup/` and `/booking/` select a streaming, an idempotent and a
 /// non-idempotent route. `resumes` allows resuming streams.
 pub fn configuration(version: u64, keys: &[&str], resumes: bool, origin: SocketAddr) -> Value {
     let route = |name: &str, prefix: &str, kind: &str, service: &str| {
--- a/standins/src/direct/store.rs
+++ b/standins/src/direct/store.rs
@@ -70,7 +70,8 @@
     server: Server,
 }
 
-/// A second address of a store that can reject its callers while those of other addresses are served.
+/// A second address of a store that can reject its callers while those of other addresses are
+/// served.
 #[derive(Debug)]
 pub struct StoreProxy {
     is_rejecting: Arc<AtomicBool>,
--- a/standins/src/engine/answer.rs
+++ b/standins/src/engine/answer.rs
@@ -261,8 +261,8 @@
         }))
     }
 
-    /// Waits after a token. A frozen answer waits until the fault is cleared, the request is cancelled
-    /// or the client disconnects.
+    /// Waits after a token. A frozen answer waits until the fault is cleared, the request is
+    /// cancelled or the client disconnects.
     fn pause(
         &self,
         state: &Mutex<State>,
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins of the systems around mastichaven, for tests: the platform's object API and host list, the
-//! origin of weights, a model engine and a plain service. Each speaks its published protocol over
-//! HTTP on loopback and injects faults on demand. They do not model a cluster.
+//! Stand-ins of the systems around mastichaven, for tests: the platform's object API and host list,
+//! the origin of weights, a model engine and a plain service. Each speaks its published protocol
+//! over HTTP on loopback and injects faults on demand. They do not model a cluster.
 //!
 //! ```
 //! use mastichaven_standins::Platform;
--- a/standins/src/serve.rs
+++ b/standins/src/serve.rs
@@ -1,7 +1,7 @@
 //! A small HTTP server with one thread per request that runs until the stand-in is dropped.
 //!
-//! It uses hyper rather than `tiny_http`, because a stand-in must be able to close a connection in the
-//! middle of an answer; `tiny_http` keeps the connection open when a handler gives up.
+//! It uses hyper rather than `tiny_http`, because a stand-in must be able to close a connection in
+//! the middle of an answer; `tiny_http` keeps the connection open when a handler gives up.
 
 use std::io;
 use std::net::SocketAddr;
@@ -90,11 +90,7 @@
 
     /// Answers with a status, headers and a complete body.
     pub(crate) fn respond(self, status: u16, headers: &[(&str, &str)], body: impl Into<Bytes>) {
-        if self
-            .is_partitioned
-            .as_ref()
-            .is_some_and(|is_partitioned| is_partitioned.load(Ordering::Acquire))
-        {
+        if self.is_partitioned.as_ref().is_some_and(|flag| flag.load(Ordering::Acquire)) {
             return;
         }
         let body = Full::new(body.into()).map_err(|error| match error {}).boxed();
@@ -219,8 +215,8 @@
     rx.recv_async().await.map_err(|_| io::ErrorKind::ConnectionReset.into())
 }
 
-/// Returns `faults` with the fields of the JSON object `change` replaced. Returns `None` if `change`
-/// is malformed or names an unknown field.
+/// Returns `faults` with the fields of the JSON object `change` replaced. Returns `None` if
+/// `change` is malformed or names an unknown field.
 pub(crate) fn with_changes<T: DeserializeOwned + Serialize>(
     faults: &T,
     change: &[u8],
--- a/standins/src/udp_proxy.rs
+++ b/standins/src/udp_proxy.rs
@@ -74,8 +74,8 @@
 }
 
 impl UdpProxy {
-    /// Opens a proxy on `address`, such as `127.0.0.1:0` for a free port. Datagrams are dropped until
-    /// a target is set.
+    /// Opens a proxy on `address`, such as `127.0.0.1:0` for a free port. Datagrams are dropped
+    /// until a target is set.
     pub fn open(address: &str) -> io::Result<UdpProxy> {
         let peer_socket = Arc::new(UdpSocket::bind(address)?);
         peer_socket.set_read_timeout(Some(POLL_INTERVAL))?;
@@ -112,7 +112,8 @@
         lock(&self.state).partitioned_peers = peers.into_iter().collect();
     }
 
-    /// Silently drops all later datagrams of the connections that are open now; new connections work.
+    /// Silently drops all later datagrams of the connections that are open now; new connections
+    /// work.
     pub fn blackhole_connections(&self) {
         let mut state = lock(&self.state);
         let seen_connections = std::mem::take(&mut state.seen_connections);
--- a/standins/tests/faults/engine.rs
+++ b/standins/tests/faults/engine.rs
@@ -64,8 +64,8 @@
 
 #[test]
 fn stream_during_load_reports_both_weights() {
-    // An engine loads another version while it streams an answer. The remaining tokens come from the
-    // new weights and carry their digest.
+    // An engine loads another version while it streams an answer. The remaining tokens come from
+    // the new weights and carry their digest.
     let (engine, origin) = start_loaded(b"old weights");
     let response = completion_request(&engine, &json!({"stream": true, "max_tokens": 20}))
         .send_lazy()
--- a/standins/tests/faults/origin.rs
+++ b/standins/tests/faults/origin.rs
@@ -8,8 +8,8 @@
 
 #[test]
 fn object_faults_apply_once_each() {
-    // The origin answers one request with a wrong byte, one with another chunk and one with 429. Later
-    // requests are answered correctly.
+    // The origin answers one request with a wrong byte, one with another chunk and one with 429.
+    // Later requests are answered correctly.
     let origin = Origin::start(ANY_PORT, 1e9).unwrap();
     origin.put(b"aaaabbbb", 4);
     origin.set_faults(|faults| {
--- a/standins/tests/faults/plain.rs
+++ b/standins/tests/faults/plain.rs
@@ -7,8 +7,8 @@
 
 #[test]
 fn crash_before_and_after_run_is_indistinguishable() {
-    // The service crashes before a booking runs, and after. The caller sees a closed connection both
-    // times; only the number of runs differs.
+    // The service crashes before a booking runs, and after. The caller sees a closed connection
+    // both times; only the number of runs differs.
     let plain = Plain::start(ANY_PORT, 1).unwrap();
     let url = format!("{}/book", plain.base());
     plain.set_faults(|faults| faults.crash_before_run = 1);
--- a/standins/tests/faults/platform.rs
+++ b/standins/tests/faults/platform.rs
@@ -27,8 +27,8 @@
 
 #[test]
 fn partitioned_proxy_blocks_calls() {
-    // A zone is partitioned from the platform: its writes neither arrive nor are refused, while other
-    // zones are unaffected.
+    // A zone is partitioned from the platform: its writes neither arrive nor are refused, while
+    // other zones are unaffected.
     let platform = Platform::start(ANY_PORT).unwrap();
     let proxy = platform.open_proxy(ANY_PORT).unwrap();
     proxy.set_partitioned(true);
