--- a/node/src/direct/endpoint_client.rs
+++ b/node/src/direct/endpoint_client.rs
@@ -107,13 +107,13 @@
     /// Fetches the endpoint's report; `layers` is the number of layers of a complete model.
     pub async fn fetch_report(&self, layers: u32) -> Result<Report> {
         let body = self.get(engine::REPORT_PATH).await?;
-        engine::scan_report(&body, layers).ok_or(EndpointCallError::Malformed)
+        engine::parse_report(&body, layers).ok_or(EndpointCallError::Malformed)
     }
 
     /// Indices of the staged chunks; empty if nothing is staged for the model.
     pub async fn staged_indices(&self, model: &str) -> Result<Vec<usize>> {
         match self.get(&engine::staged_list_path(model)).await {
-            Ok(body) => engine::scan_staged(&body).ok_or(EndpointCallError::Malformed),
+            Ok(body) => engine::parse_staged_chunks(&body).ok_or(EndpointCallError::Malformed),
             Err(EndpointCallError::Absent) => Ok(Vec::new()),
             Err(e) => Err(e),
         }
--- a/node/tests/direct/agent.rs
+++ b/node/tests/direct/agent.rs
@@ -1,9 +1,9 @@
 use std::thread;
 use std::time::Duration;
 
-use mastichaven_standins::served::endpoint::ServedEndpoint;
-use mastichaven_standins::served::origin::CHUNKS;
-use mastichaven_standins::served::store::StoreFault;
+use mastichaven_standins::direct::endpoint::FakeEndpoint;
+use mastichaven_standins::direct::origin::CHUNKS;
+use mastichaven_standins::direct::store::StoreFault;
 use serde_json::json;
 
 use super::fixture::Program;
@@ -19,7 +19,7 @@
     test: &str,
     count: usize,
     version: Option<u64>,
-) -> Vec<(ServedEndpoint, Program)> {
+) -> Vec<(FakeEndpoint, Program)> {
     let start = |n| {
         let endpoint = site.start_endpoint(&format!("i-{n}"), "writer", version);
         let agent = site.start_agent(&format!("{test}-{n}"), &endpoint);
@@ -28,7 +28,7 @@
     (0..count).map(start).collect()
 }
 
-fn all_loaded(fleet: &[(ServedEndpoint, Program)], version: u64) -> bool {
+fn all_loaded(fleet: &[(FakeEndpoint, Program)], version: u64) -> bool {
     fleet.iter().all(|(endpoint, _)| endpoint.version() == Some(version))
 }
 
@@ -44,7 +44,7 @@
     let new = site.start_endpoint("i-new", "writer", None);
     let _agent = site.start_agent("peers-new", &new);
     until("the new endpoint has loaded version 1", || new.version() == Some(1));
-    assert_eq!(new.mixed_loads(), 0);
+    assert_eq!(new.inconsistent_loads(), 0);
     assert_eq!(site.origin.chunks_sent(), 0);
     until("the new endpoint receives requests", || {
         let _ = entry.send_request("/stream/a", "a", "key-1");
@@ -68,7 +68,7 @@
         assert_eq!(answer.status, 200, "{answer:?}");
         all_loaded(&fleet, 2)
     });
-    assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
+    assert!(fleet.iter().all(|(endpoint, _)| endpoint.inconsistent_loads() == 0));
     assert!(site.origin.chunks_sent() <= CHUNKS as u64 * 2, "{}", site.origin.chunks_sent());
 }
 
@@ -83,12 +83,12 @@
     announce_version(&site, 2);
     for _ in 0..60 {
         for (endpoint, _) in &fleet {
-            endpoint.rot(3);
+            endpoint.corrupt_staged(3);
         }
         thread::sleep(Duration::from_millis(10));
     }
     until("all endpoints have loaded version 2", || all_loaded(&fleet, 2));
-    assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
+    assert!(fleet.iter().all(|(endpoint, _)| endpoint.inconsistent_loads() == 0));
 }
 
 // The origin is down when a version is announced, and sends corrupt chunks at first when it is up again.
@@ -101,14 +101,14 @@
     site.origin.set_down(true);
     announce_version(&site, 2);
     thread::sleep(Duration::from_secs(3));
-    site.origin.set_garbled(true);
+    site.origin.set_corrupting(true);
     site.origin.set_down(false);
     thread::sleep(Duration::from_secs(1));
-    site.origin.set_garbled(false);
+    site.origin.set_corrupting(false);
     let recovered_at = std::time::Instant::now();
     until("all endpoints have loaded version 2", || all_loaded(&fleet, 2));
     assert!(recovered_at.elapsed() < Duration::from_secs(8), "{:?}", recovered_at.elapsed());
-    assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
+    assert!(fleet.iter().all(|(endpoint, _)| endpoint.inconsistent_loads() == 0));
 }
 
 // Version 3 is announced shortly after version 2. No endpoint may load chunks of both.
@@ -122,7 +122,7 @@
     thread::sleep(Duration::from_millis(900));
     announce_version(&site, 3);
     until("all endpoints have loaded version 3", || all_loaded(&fleet, 3));
-    assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
+    assert!(fleet.iter().all(|(endpoint, _)| endpoint.inconsistent_loads() == 0));
 }
 
 // All agents are killed during a download and restarted. They find the staged chunks and resume the download.
@@ -140,7 +140,7 @@
         *agent = site.start_agent(&format!("killed-again-{n}"), endpoint);
     }
     until("all endpoints have loaded version 2", || all_loaded(&fleet, 2));
-    assert!(fleet.iter().all(|(endpoint, _)| endpoint.mixed_loads() == 0));
+    assert!(fleet.iter().all(|(endpoint, _)| endpoint.inconsistent_loads() == 0));
 }
 
 // All agents restart at once while the store's links are saturated. When each agent read the configuration from
