--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -249,14 +249,14 @@
     fleet.publish(&config)?;
     let known = wait_until(STEP_LIMIT, || {
         (0..fleet.entries.len()).all(|n| {
-            let answer = ask_one(fleet.callers_addr(n), SMALL_KEY);
+            let answer = call_unary(fleet.callers_addr(n), SMALL_KEY);
             answer.is_ok_and(|answer| answer.is_whole)
         })
     });
     known.map(drop).ok_or_else(|| "the small customer is not known in time".to_owned())
 }
 
-fn ask_one(to: SocketAddr, key: &'static str) -> Result<Answer> {
+fn call_unary(to: SocketAddr, key: &'static str) -> Result<Answer> {
     let runtime = caller::runtime()?;
     Ok(runtime.block_on(ask(to, key, 1, TOKENS, DEADLINE)))
 }
@@ -266,7 +266,7 @@
     let mut seconds: Vec<f64> = (0..5)
         .map(|n| {
             let begun = Instant::now();
-            ask_one(fleet.callers_addr(n), CUSTOMER_KEY).map(|_| begun.elapsed().as_secs_f64())
+            call_unary(fleet.callers_addr(n), CUSTOMER_KEY).map(|_| begun.elapsed().as_secs_f64())
         })
         .collect::<Result<_>>()?;
     seconds.sort_by(f64::total_cmp);
--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -51,7 +51,7 @@
 use crate::http_store::HttpStore;
 use crate::operator;
 use crate::operator::Operated;
-use crate::operator::WholeBody;
+use crate::operator::SizedBody;
 use crate::origin::Origin;
 use crate::platform_watch;
 use crate::settings::AgentSettings;
@@ -432,9 +432,9 @@
         })
     }
 
-    fn weights(&self, manifest: Digest) -> Option<WholeBody> {
+    fn weights(&self, manifest: Digest) -> Option<SizedBody> {
         let whole = self.store.reader(manifest)?;
-        Some(WholeBody { len: whole.len(), reader: Box::new(whole) })
+        Some(SizedBody { len: whole.len(), reader: Box::new(whole) })
     }
 
     fn send_gauges(&self) {
--- a/node/src/agent/engine_watch.rs
+++ b/node/src/agent/engine_watch.rs
@@ -230,7 +230,7 @@
                 return false;
             };
             let ask = shared.ask(RequestBody::Members(MembersRequest::Probe));
-            let reply = shared.transport.ask_one(address, &ask, PROBE_TIMEOUT);
+            let reply = shared.transport.call_unary(address, &ask, PROBE_TIMEOUT);
             matches!(
                 reply.map(|reply| reply.body),
                 Ok(ReplyBody::Members(MembersReply::Member(member)))
--- a/node/src/bin/mastichaven-agent.rs
+++ b/node/src/bin/mastichaven-agent.rs
@@ -1,4 +1,4 @@
-//! `mastichaven-agent SETTINGS`: runs one agent until it is told to stop.
+//! `mastichaven-agent SETTINGS`: runs one agent until it is stopped.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/node/src/bin/mastichaven-entry.rs
+++ b/node/src/bin/mastichaven-entry.rs
@@ -1,4 +1,4 @@
-//! `mastichaven-entry SETTINGS`: runs one entry until it is told to stop.
+//! `mastichaven-entry SETTINGS`: runs one entry until it is stopped.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -7,48 +7,48 @@
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// Reads the monotonic clock as [`Time`] since the clock was made.
+/// Reads the monotonic clock as [`Time`] since this value was created.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock whose origin is the present.
     pub fn start() -> Clock {
         Clock { start: Instant::now() }
     }
 
-    /// The present time.
+    /// Microseconds since the origin of this clock.
     pub fn now(&self) -> Time {
         Time::from_micros(u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 }
 
-/// What the boot-time clock shows when a process starts. Other processes tell it of things that
-/// happened before; were such moments cut off at its start, a version of weights named long ago would
-/// count as new, and requests would begin on older ones past their bound.
-const BEFORE_START: Duration = Duration::from_secs(3_600);
+/// Reading of a new [`BootClock`]. Other processes report events from before its start. If these
+/// times were clamped to the start, a version of weights announced long ago would count as new, and
+/// requests would begin on older versions after their limit.
+const INITIAL_TIME: Duration = Duration::from_secs(3_600);
 
-/// Reads the clock that goes on while the host is suspended.
+/// Reads the boot-time clock, which also advances while the host is suspended.
 ///
-/// The monotonic clock stands still meanwhile: a lease that it measures would still seem valid after
-/// seconds of suspension in which a key was taken away.
+/// The monotonic clock stops during suspension: a lease measured by it would still appear valid after
+/// a suspension in which a key was revoked.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
     start: Duration,
 }
 
 impl BootClock {
-    /// A clock that starts now.
+    /// Creates a clock whose origin is the present.
     pub fn start() -> BootClock {
         BootClock { start: since_boot() }
     }
 
-    /// The present time.
+    /// Microseconds since the origin of this clock.
     pub fn now(&self) -> Time {
-        let passed = BEFORE_START + since_boot().saturating_sub(self.start);
-        Time::from_micros(u64::try_from(passed.as_micros()).unwrap_or(u64::MAX))
+        let elapsed_time = INITIAL_TIME + since_boot().saturating_sub(self.start);
+        Time::from_micros(u64::try_from(elapsed_time.as_micros()).unwrap_or(u64::MAX))
     }
 }
 
--- a/node/src/entry/claims.rs
+++ b/node/src/entry/claims.rs
@@ -209,7 +209,7 @@
     entries.sort_by_key(|m| m.zone == own_place.zone);
     for entry in entries.iter().take(MAX_RELAYING_ENTRIES) {
         let message = shared.ask(RequestBody::Relay(request.clone()));
-        let reply = shared.transport.ask_one(entry.address, &message, RELAY_TIMEOUT);
+        let reply = shared.transport.call_unary(entry.address, &message, RELAY_TIMEOUT);
         match reply.map(|reply| reply.body) {
             Ok(ReplyBody::Relay(RelayReply::Unavailable) | ReplyBody::Refused(_))
             | Err(Code::Unreachable | Code::Busy) => {}
--- a/node/src/http_store.rs
+++ b/node/src/http_store.rs
@@ -24,8 +24,8 @@
 use serde::de::DeserializeOwned;
 use smol_str::SmolStr;
 
+use crate::fetch::CompleteResponse;
 use crate::fetch::FetchError;
-use crate::fetch::Fetched;
 use crate::fetch::fetch;
 
 /// Seconds a call may take, apart from a watch's own wait.
@@ -65,7 +65,7 @@
             return Ok(None);
         }
         check_status(&fetched)?;
-        if !fetched.is_sized() {
+        if !fetched.has_content_length() {
             return Err(PlatformError::Malformed);
         }
         let revision = scan_revision(&fetched)?;
@@ -108,13 +108,13 @@
     }
 }
 
-fn send(request: minreq::Request) -> Result<Fetched> {
+fn send(request: minreq::Request) -> Result<CompleteResponse> {
     let fetched = fetch(request, MAX_ANSWER_LEN).map_err(read_error)?;
     check_status(&fetched)?;
     Ok(fetched)
 }
 
-fn check_status(fetched: &Fetched) -> Result<()> {
+fn check_status(fetched: &CompleteResponse) -> Result<()> {
     match fetched.status {
         200 => Ok(()),
         409 | 412 => Err(PlatformError::Conflict),
@@ -131,12 +131,12 @@
 fn read_error(error: FetchError) -> PlatformError {
     match error {
         FetchError::Refused => PlatformError::Down,
-        FetchError::Broken => PlatformError::Unknown,
+        FetchError::Interrupted => PlatformError::Unknown,
         FetchError::TooLong => PlatformError::Malformed,
     }
 }
 
-fn scan_revision(fetched: &Fetched) -> Result<Revision> {
+fn scan_revision(fetched: &CompleteResponse) -> Result<Revision> {
     let etag = fetched.header("etag").ok_or(PlatformError::Malformed)?;
     etag.trim_matches('"').parse().map(Revision).map_err(|_| PlatformError::Malformed)
 }
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -1,11 +1,11 @@
-//! The operators' port: health, readiness, and a dump of the whole state.
+//! The operators' HTTP port: health, readiness and a state dump.
 //!
-//! `GET /health` answers 200 while the process lives, `GET /ready` 200 while it takes new work and
-//! 503 otherwise, `GET /dump` the state as JSON. The port is bound to loopback unless set
-//! otherwise. On an agent the engine reads whole weights from `GET /weights/DIGEST`.
+//! `GET /health` returns 200 while the process runs, `GET /ready` 200 while it accepts requests and
+//! 503 otherwise, and `GET /dump` the state as JSON. The port is bound to loopback by default. On an
+//! agent, the engine reads complete weights from `GET /weights/DIGEST`.
 //!
-//! hyper stands in for `tiny_http`, which ends an answer whose source breaks off as if it were
-//! whole; `docs/DECISIONS.md` says more.
+//! The server is hyper rather than `tiny_http`, which ends a response whose source fails as if it
+//! were complete; see `docs/DECISIONS.md`.
 
 use std::convert::Infallible;
 use std::io;
@@ -42,57 +42,57 @@
 /// Result of starting the port.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// How often the thread looks whether the process has ended.
-const POLL: Duration = Duration::from_millis(200);
+/// Interval at which the thread checks whether the process has stopped.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Connections at most; more wait in the system's backlog.
+/// Further connections wait in the system's accept backlog.
 const MAX_CONNECTIONS: usize = 64;
 
-/// A connection that has not sent its head after this long is closed.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time for a client to send its request head before the connection is closed.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A connection that has taken none of its answer for this long is closed. An engine may pause for
-/// long while it moves weights into its accelerators.
-const WRITE_LIMIT: Duration = Duration::from_secs(60);
+/// A connection that accepts no bytes for this long is closed. The limit is long because an engine
+/// pauses while it copies weights to its accelerators.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Bytes of weights read at a time.
-const READ_LEN: usize = 256 << 10;
+/// Buffer size for reading weights.
+const BLOCK_BYTES: usize = 256 << 10;
 
-/// Pieces of weights that wait for the reader.
-const PIECE_RING: usize = 4;
+/// Buffered blocks of weights per response.
+const MAX_BUFFERED_BLOCKS: usize = 4;
 
-/// How often gauges are sent.
+/// Interval between two calls of [`Operated::send_gauges`].
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bytes of a known length, read as they are sent.
-pub struct WholeBody {
-    /// How many there are.
+/// A body of known length, read while it is sent.
+pub struct SizedBody {
+    /// Length in bytes, sent as `content-length`.
     pub len: u64,
-    /// Where they come from; an error cuts the answer off.
+    /// Source of the bytes; a read error aborts the response.
     pub reader: Box<dyn Read + Send>,
 }
 
-/// What the port shows.
+/// State of a process that the port exposes.
 pub trait Operated: Send + Sync + 'static {
-    /// Whether the process takes new work.
+    /// Whether the process accepts new requests.
     fn is_ready(&self) -> bool;
 
-    /// The whole state, without keys.
+    /// The complete state as JSON, without any key material.
     fn dump(&self) -> Value;
 
-    /// Sends what is shown as it stands to the metrics server; called every second.
+    /// Sends the gauges to the metrics server; called every second.
     fn send_gauges(&self);
 
-    /// The whole verified weights of a manifest, if this process has them.
-    fn weights(&self, _manifest: Digest) -> Option<WholeBody> {
+    /// The complete, verified weights of a manifest, if this process stores them.
+    fn weights(&self, _manifest: Digest) -> Option<SizedBody> {
         None
     }
 
-    /// Whether the process has ended.
+    /// Whether the process has stopped; the port's thread then ends.
     fn is_over(&self) -> bool;
 }
 
-/// Starts the port's thread and returns the address that is bound.
+/// Starts the port's thread and returns the bound address.
 pub fn start(address: SocketAddr, operated: Arc<dyn Operated>) -> Result<SocketAddr> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -108,25 +108,26 @@
 }
 
 async fn serve(listener: TcpListener, operated: Arc<dyn Operated>) {
-    let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
-    let mut sent = Instant::now();
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let mut gauges_sent_at = Instant::now();
     while !operated.is_over() {
-        if sent.elapsed() >= GAUGE_INTERVAL {
+        if gauges_sent_at.elapsed() >= GAUGE_INTERVAL {
             operated.send_gauges();
-            sent = Instant::now();
+            gauges_sent_at = Instant::now();
         }
         let accept = async {
-            let place = places.clone().acquire_owned().await.ok()?;
+            let permit = permits.clone().acquire_owned().await.ok()?;
             let (stream, _) = listener.accept().await.ok()?;
-            Some((place, stream))
+            Some((permit, stream))
         };
-        let Ok(Some((place, stream))) = tokio::time::timeout(POLL, accept).await else {
+        let Ok(Some((permit, stream))) = tokio::time::timeout(STOP_CHECK_INTERVAL, accept).await
+        else {
             continue;
         };
         let operated = operated.clone();
         tokio::spawn(async move {
             serve_connection(stream, operated).await;
-            drop(place);
+            drop(permit);
         });
     }
 }
@@ -138,8 +139,8 @@
     });
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_TIMEOUT)
-        .serve_connection(TokioIo::new(WriteTimeout::new(stream, WRITE_LIMIT)), service)
+        .header_read_timeout(HEADER_TIMEOUT)
+        .serve_connection(TokioIo::new(WriteTimeout::new(stream, WRITE_TIMEOUT)), service)
         .await;
 }
 
@@ -169,27 +170,27 @@
     response.expect("a status alone makes a valid head")
 }
 
-/// The weights with their length, so that an engine can tell when they end early.
-fn weights(whole: WholeBody) -> Response<ResponseBody> {
-    let (tx, rx) = flume::bounded(PIECE_RING);
-    let len = whole.len;
-    tokio::task::spawn_blocking(move || send_pieces(whole.reader, &tx));
+/// Sends the weights with their length, so that an engine detects a truncated response.
+fn weights(sized: SizedBody) -> Response<ResponseBody> {
+    let (tx, rx) = flume::bounded(MAX_BUFFERED_BLOCKS);
+    let len = sized.len;
+    tokio::task::spawn_blocking(move || send_blocks(sized.reader, &tx));
     let body = BodyExt::boxed(StreamBody::new(rx.into_stream()));
     let mut response = response(200, body);
     response.headers_mut().insert("content-length", len.into());
     response
 }
 
-fn send_pieces(mut reader: Box<dyn Read + Send>, tx: &flume::Sender<io::Result<Frame<Bytes>>>) {
-    let mut buf = vec![0; READ_LEN];
+fn send_blocks(mut reader: Box<dyn Read + Send>, tx: &flume::Sender<io::Result<Frame<Bytes>>>) {
+    let mut buf = vec![0; BLOCK_BYTES];
     loop {
-        let piece = match reader.read(&mut buf) {
+        let block = match reader.read(&mut buf) {
             Ok(0) => return,
             Ok(len) => Ok(Frame::data(Bytes::copy_from_slice(&buf[..len]))),
             Err(e) => Err(e),
         };
-        let broken = piece.is_err();
-        if tx.send(piece).is_err() || broken {
+        let failed = block.is_err();
+        if tx.send(block).is_err() || failed {
             return;
         }
     }
--- a/node/src/origin.rs
+++ b/node/src/origin.rs
@@ -51,7 +51,7 @@
         let fetched = fetch(request, MAX_OBJECT_LEN).map_err(|e| match e {
             // No byte left the origin, so a retry is not charged to the origin budget again.
             FetchError::Refused => Code::Unreachable,
-            FetchError::Broken | FetchError::TooLong => Code::PeerLost,
+            FetchError::Interrupted | FetchError::TooLong => Code::PeerLost,
         })?;
         match fetched.status {
             200 => Ok(Bytes::from(fetched.body)),
--- a/node/src/platform_watch.rs
+++ b/node/src/platform_watch.rs
@@ -242,7 +242,8 @@
             }
             let ask =
                 self.node.ask(RequestBody::Members(MembersRequest::HostLeaving(listed.leaving)));
-            let noted = self.node.transport().ask_one(listed.address, &ask, NOTE_TIMEOUT).is_ok();
+            let noted =
+                self.node.transport().call_unary(listed.address, &ask, NOTE_TIMEOUT).is_ok();
             if noted && listed.leaving {
                 self.told_leaving.insert(listed.name.clone());
             } else if noted {
@@ -278,7 +279,7 @@
 
     fn survey(&self, me: &Member) -> Survey {
         let ask = self.node.ask(RequestBody::Spread(SpreadRequest::Survey));
-        let reply = self.node.transport().ask_one(me.address, &ask, SURVEY_TIMEOUT);
+        let reply = self.node.transport().call_unary(me.address, &ask, SURVEY_TIMEOUT);
         match reply.map(|reply| reply.body) {
             Ok(ReplyBody::Spread(SpreadReply::Survey(survey))) => survey,
             _ => Survey::of(self.node.documents().generation()),
--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -18,8 +18,8 @@
 mod check;
 mod locate;
 
-pub use self::check::Checked;
 pub use self::check::Problem;
+pub use self::check::Validate;
 
 /// Result of reading settings.
 pub type Result<T> = std::result::Result<T, SettingsError>;
@@ -182,7 +182,7 @@
 }
 
 /// Reads and checks a settings file.
-pub fn load<T: Checked + DeserializeOwned>(file: &Path) -> Result<T> {
+pub fn load<T: Validate + DeserializeOwned>(file: &Path) -> Result<T> {
     let unreadable = |detail: String| SettingsError {
         code: Code::Unreadable,
         file: file.to_owned(),
@@ -200,7 +200,7 @@
 }
 
 /// Reads and checks settings from `text`; `file` only names it in errors.
-pub fn parse<T: Checked + DeserializeOwned>(file: &Path, text: &str) -> Result<T> {
+pub fn parse<T: Validate + DeserializeOwned>(file: &Path, text: &str) -> Result<T> {
     let error = |code, line, detail| SettingsError { code, file: file.to_owned(), line, detail };
     if let Err(e) = toml::from_str::<toml::Table>(text) {
         let line = locate::line_at(text, e.span().map_or(0, |span| span.start));
--- a/node/src/settings/check.rs
+++ b/node/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! The range of each setting.
+//! Validation of setting values.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -15,44 +15,44 @@
 use super::Place;
 use crate::direct::settings::DirectSettings;
 
-/// Milliseconds that a stop may be given.
+/// Range of `stop_deadline_ms`, in milliseconds.
 pub const STOP_DEADLINE_MS: RangeInclusive<u64> = 1_000..=86_400_000;
 
-/// Bytes that a chunk store may have: two chunks of the largest kind up to a TiB.
+/// Range of `store_bytes`: from two chunks of the largest size to 1 TiB.
 pub const STORE_BYTES: RangeInclusive<u64> = 2 * MAX_CHUNK_BYTES as u64..=1 << 40;
 
-/// Milliseconds after which keys that were taken away must not work. A shorter bound would need more
-/// reads of the store than it allows.
-pub const REVOCATION_MS: RangeInclusive<u64> = 2_000..=600_000;
+/// Range of `key_revocation_ms`, the milliseconds until a revoked key must not work. A shorter limit
+/// would need more reads of the store than the store allows.
+pub const KEY_REVOCATION_MS: RangeInclusive<u64> = 2_000..=600_000;
 
-/// Milliseconds after which an endpoint that leaves must get nothing more. One that may only have lapsed from
-/// the list is kept for most of the shortest bound.
+/// Range of `leave_ms`, the milliseconds until a leaving endpoint must get no more requests. An
+/// endpoint whose record may only have lapsed is kept for most of the shortest limit.
 pub const LEAVE_MS: RangeInclusive<u64> = 2_000..=60_000;
 
-/// A setting out of its range.
+/// An invalid setting.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Problem {
     /// The key with its table, such as `place.host`.
     pub key: &'static str,
     /// The numbered code.
     pub code: Code,
-    /// What is wrong.
+    /// The value and the rule that it breaks, for an operator.
     pub detail: String,
 }
 
-/// Settings whose values have ranges.
-pub trait Checked {
-    /// The first value that is out of its range.
+/// Settings whose values can be validated.
+pub trait Validate {
+    /// The first invalid value; `None` if all are valid.
     fn problem(&self) -> Option<Problem>;
 }
 
-impl Checked for Config {
+impl Validate for Config {
     fn problem(&self) -> Option<Problem> {
         None
     }
 }
 
-impl Checked for EntrySettings {
+impl Validate for EntrySettings {
     fn problem(&self) -> Option<Problem> {
         self.place
             .problem()
@@ -61,7 +61,7 @@
     }
 }
 
-impl Checked for AgentSettings {
+impl Validate for AgentSettings {
     fn problem(&self) -> Option<Problem> {
         self.place
             .problem()
@@ -73,7 +73,7 @@
     }
 }
 
-impl Checked for Place {
+impl Validate for Place {
     fn problem(&self) -> Option<Problem> {
         name("place.host", self.host.as_str())
             .or_else(|| name("place.zone", self.zone.as_str()))
@@ -83,7 +83,7 @@
     }
 }
 
-impl Checked for EndpointSettings {
+impl Validate for EndpointSettings {
     fn problem(&self) -> Option<Problem> {
         match self {
             EndpointSettings::Engine { address, .. } => url("endpoint.address", address),
@@ -93,7 +93,7 @@
     }
 }
 
-impl Checked for DirectSettings {
+impl Validate for DirectSettings {
     fn problem(&self) -> Option<Problem> {
         let bounds = &self.bounds;
         let window = Duration::try_from_secs_f64(bounds.repeat_window_s).unwrap_or_default();
@@ -110,7 +110,7 @@
         if !(0.0..=10.0).contains(&bounds.repeat_ratio) {
             return bad_value("repeat_ratio", format!("{} is not 0 to 10", bounds.repeat_ratio));
         }
-        range("key_revocation_ms", bounds.key_revocation_ms, REVOCATION_MS)
+        range("key_revocation_ms", bounds.key_revocation_ms, KEY_REVOCATION_MS)
             .or_else(|| range("leave_ms", bounds.leave_ms, LEAVE_MS))
     }
 }
@@ -130,14 +130,14 @@
     Some(Problem { key, code: Code::BadName, detail })
 }
 
-/// The address is told to peers, so that one which means "any" would lead them nowhere.
+/// Peers connect to this address, so that the unspecified address would be useless to them.
 fn peers(place: &Place) -> Option<Problem> {
-    let (key, told) = match place.advertised {
+    let (key, address) = match place.advertised {
         Some(advertised) => ("place.advertised", advertised),
         None => ("place.peers", place.peers),
     };
-    if told.ip().is_unspecified() {
-        return bad_value(key, format!("{told} is not an address that peers can reach"));
+    if address.ip().is_unspecified() {
+        return bad_value(key, format!("{address} is not an address that peers can reach"));
     }
     None
 }
@@ -149,7 +149,7 @@
     None
 }
 
-/// Processes talk by IP numbers: a name would need a resolver, which may be down with the rest.
+/// Addresses are IP addresses: a host name would need a resolver, which may be down as well.
 fn url(key: &'static str, text: &str) -> Option<Problem> {
     let address = text.strip_prefix("http://").and_then(|rest| rest.parse::<SocketAddr>().ok());
     if address.is_some_and(|address| address.port() != 0) {
--- a/node/src/telemetry.rs
+++ b/node/src/telemetry.rs
@@ -1,6 +1,6 @@
-//! Logs for changes of state, and counters for everything else.
+//! Logs of state changes, and metrics of everything else.
 //!
-//! Every counter goes to the StatsD address of the settings and is kept for the dump as well, so that
+//! Every counter is sent to the StatsD address of the settings and is also part of the dump, so that
 //! an operator without a metrics server sees the same numbers.
 
 use std::io;
@@ -32,24 +32,24 @@
 
 mod metric;
 
-/// Prefix of every metric.
+/// Namespace of every metric in StatsD.
 const METRIC_PREFIX: &str = "mastichaven";
 
-/// Metrics waiting to be sent; newer ones are dropped when it is full.
-const METRIC_RING: usize = 4_096;
+/// Capacity of the queue of metrics to send; new ones are dropped while it is full.
+const METRIC_QUEUE_LEN: usize = 4_096;
 
-/// Log and metrics of one process.
+/// Logger and metrics of one process.
 #[derive(Clone)]
 pub struct Telemetry {
-    /// Lines only for changes of state.
+    /// For state changes only, not for single requests.
     pub log: Logger,
     metrics: Arc<StatsdClient>,
     counts: Arc<Counts>,
 }
 
 impl Telemetry {
-    /// Logs to standard error, a whole line at a time as other processes may log there too, and
-    /// sends metrics to `statsd`, if it is given and can be reached.
+    /// Logs to standard error, one complete line at a time as other processes may write there too, and
+    /// sends metrics to `statsd` if that is given and a socket can be opened.
     pub fn start(host: &HostName, statsd: Option<SocketAddr>) -> Telemetry {
         let lines = slog_term::PlainDecorator::new(LineWriter::new(io::stderr()));
         let drain = slog_term::FullFormat::new(lines).build().fuse();
@@ -59,7 +59,7 @@
         Telemetry { log, metrics: Arc::new(metrics), counts: Arc::default() }
     }
 
-    /// Counts for the dump alone, without log or metrics.
+    /// Counts for the dump only, without log or StatsD.
     pub fn silent() -> Telemetry {
         let log = Logger::root(slog::Discard, slog::o!());
         Telemetry { log, metrics: Arc::new(no_metrics()), counts: Arc::default() }
@@ -77,7 +77,7 @@
         let _ = self.metrics.count(counter.name(), amount);
     }
 
-    /// Counts an answer to a caller and the time to its head.
+    /// Counts a response to a caller by code and outcome, and sends the time to its head.
     pub fn answered(&self, code: Code, outcome: Outcome, to_head: Duration) {
         self.counts.ended(code);
         let _ = self.metrics.incr(&format!("requests.E{}", code.number()));
@@ -85,23 +85,23 @@
         let _ = self.metrics.time("requests.to_head", to_head);
     }
 
-    /// Counts an attempt on this agent's endpoint by the code that it ended with.
+    /// Counts a finished attempt at this agent's endpoint by its code.
     pub fn attempted(&self, code: Code) {
         self.counts.ended(code);
         let _ = self.metrics.incr(&format!("attempts.E{}", code.number()));
     }
 
-    /// Sends how long something took.
+    /// Sends a duration to StatsD; it is not part of the dump.
     pub fn time(&self, timer: Timer, span: Duration) {
         let _ = self.metrics.time(timer.name(), span);
     }
 
-    /// Sends a present value.
+    /// Sends the current value of a gauge to StatsD; it is not part of the dump.
     pub fn gauge(&self, gauge: Gauge, value: u64) {
         let _ = self.metrics.gauge(gauge.name(), value);
     }
 
-    /// Everything counted in this life, for the dump.
+    /// All counters above zero since the process started, for the dump.
     pub fn counts(&self) -> Value {
         self.counts.to_json()
     }
@@ -116,6 +116,6 @@
     let socket = UdpSocket::bind(any).ok()?;
     socket.set_nonblocking(true).ok()?;
     let sink = UdpMetricSink::from(statsd, socket).ok()?;
-    let sink = QueuingMetricSink::with_capacity(sink, METRIC_RING);
+    let sink = QueuingMetricSink::with_capacity(sink, METRIC_QUEUE_LEN);
     Some(StatsdClient::from_sink(METRIC_PREFIX, sink))
 }
--- a/node/src/telemetry/metric.rs
+++ b/node/src/telemetry/metric.rs
@@ -1,4 +1,4 @@
-//! The metrics of the programs, and the counters kept for the dump.
+//! Names of the metrics, and the counters that the dump contains.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -16,10 +16,10 @@
         }
 
         impl $kind {
-            /// All of them.
+            /// Every variant, in order of declaration.
             pub const ALL: &'static [$kind] = &[$($kind::$name,)*];
 
-            /// Its name towards StatsD and in the dump.
+            /// The name in StatsD and in the dump.
             pub fn name(self) -> &'static str {
                 match self { $($kind::$name => $text,)* }
             }
@@ -28,27 +28,27 @@
 }
 
 metrics! {
-    /// What is counted.
+    /// Event counts and byte totals.
     Counter {
         /// Requests whose head has been read.
         RequestsBegun = "requests.begun",
         /// Attempts sent to agents.
         AttemptsSent = "attempts.sent",
-        /// Chunks taken from the origin.
+        /// Chunks downloaded from the origin.
         OriginChunks = "weights.origin_chunks",
-        /// Bytes taken from the origin.
+        /// Bytes downloaded from the origin.
         OriginBytes = "weights.origin_bytes",
-        /// Chunks taken from peers.
+        /// Chunks downloaded from peers.
         PeerChunks = "weights.peer_chunks",
-        /// Bytes taken from peers.
+        /// Bytes downloaded from peers.
         PeerBytes = "weights.peer_bytes",
         /// Chunks that did not match their digest.
         CorruptChunks = "weights.corrupt_chunks",
-        /// Orders given to the engine.
+        /// Orders sent to the engine.
         Orders = "engine.orders",
-        /// Orders that the engine refused or did not carry out.
+        /// Orders that the engine rejected or did not execute.
         OrdersFailed = "engine.orders_failed",
-        /// Times the endpoint was seen in a new life.
+        /// Detected restarts of the endpoint.
         EndpointStarts = "endpoint.starts",
         /// Times the gate was opened for requests.
         GateOpened = "gate.opened",
@@ -58,26 +58,26 @@
 }
 
 metrics! {
-    /// What is timed.
+    /// Durations.
     Timer {
-        /// An engine's load of a version.
+        /// Time that an engine took to load a version.
         Load = "engine.load",
     }
 }
 
 metrics! {
-    /// What is shown as it stands.
+    /// Current values, sent every second.
     Gauge {
         /// The generation in force.
         Generation = "config.generation",
         /// Requests in progress.
         Running = "requests.running",
-        /// Members known.
+        /// Members in this process's membership view.
         Members = "members.known",
     }
 }
 
-/// Counters of one life of a process.
+/// Counters since the process started.
 #[derive(Debug)]
 pub(super) struct Counts {
     counters: Vec<AtomicU64>,
@@ -102,22 +102,22 @@
         self.by_code[code as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// What is not zero, by name; codes as `E100`.
+    /// Counters above zero by name; codes as `E100`.
     pub(super) fn to_json(&self) -> Value {
-        let mut shown = Map::new();
+        let mut json = Map::new();
         for (counter, count) in Counter::ALL.iter().zip(&self.counters) {
-            insert(&mut shown, counter.name().to_owned(), count);
+            insert(&mut json, counter.name().to_owned(), count);
         }
         for (code, count) in Code::ALL.iter().zip(&self.by_code) {
-            insert(&mut shown, format!("E{}", code.number()), count);
+            insert(&mut json, format!("E{}", code.number()), count);
         }
-        Value::Object(shown)
+        Value::Object(json)
     }
 }
 
-fn insert(shown: &mut Map<String, Value>, name: String, count: &AtomicU64) {
+fn insert(json: &mut Map<String, Value>, name: String, count: &AtomicU64) {
     let count = count.load(Ordering::Relaxed);
     if count > 0 {
-        shown.insert(name, count.into());
+        json.insert(name, count.into());
     }
 }
--- a/node/src/tls.rs
+++ b/node/src/tls.rs
@@ -1,8 +1,8 @@
 //! Mutual TLS between the project's processes: certificates, and what a peer's certificate allows.
 //!
 //! Every certificate of the fleet carries three DNS names: one common to all (checked by the TLS
-//! library), one for the role and one for the host. The role decides what a peer may ask, so that
-//! an endpoint host cannot pose as an entry.
+//! library), one for the role and one for the host. The role decides which requests a peer may send,
+//! so that an endpoint host cannot impersonate an entry.
 
 use std::fs;
 use std::path::Path;
@@ -29,25 +29,25 @@
 use serde::Serialize;
 use x509_parser::extensions::GeneralName;
 
-/// Result of handling TLS material.
+/// Result of reading, checking or issuing TLS material.
 pub type Result<T> = std::result::Result<T, TlsError>;
 
 /// The DNS name that every certificate of a fleet carries.
 pub const PEER_NAME: &str = "peer.mastichaven";
 
-/// Protocol name that both sides of a connection must speak.
+/// ALPN protocol name that both sides of a connection must offer.
 pub const ALPN: &[u8] = b"mastichaven/1";
 
-/// How often an idle connection is probed.
-const KEEP_ALIVE: Duration = Duration::from_millis(1_000);
+/// Interval of keep-alives on an idle connection.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// A connection that is silent for this long is given up.
+/// A connection that receives nothing for this long is closed.
 const IDLE_TIMEOUT_MS: u32 = 4_000;
 
-/// The same for a connection that carries control alone.
+/// Idle timeout of a connection that carries only control messages.
 const CONTROL_IDLE_TIMEOUT_MS: u32 = 60_000;
 
-/// Streams one peer may have open at once.
+/// Concurrent streams that one peer may open.
 const MAX_STREAMS: u32 = 1_024;
 
 /// Why TLS material cannot be used.
@@ -55,7 +55,7 @@
 pub enum TlsError {
     /// The file cannot be read.
     Unreadable(PathBuf),
-    /// The content is not what is expected.
+    /// The content is malformed or the TLS library rejects it.
     Invalid(String),
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// What a peer is allowed to be.
+/// Role of a process, as named by its certificate.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
@@ -100,11 +100,11 @@
         [Role::Entry, Role::Agent, Role::Ctl].into_iter().find(|role| role.dns_name() == name)
     }
 
-    /// Whether a peer of this role may ask `body`.
+    /// Whether a peer of this role may send `body`.
     ///
-    /// Work and platform calls come from entries alone: a stolen agent certificate must not be
-    /// enough to spend another agent's endpoint or to write to the platform.
-    pub fn may_ask(self, body: &RequestBody) -> bool {
+    /// Only entries may send requests for endpoints and platform calls: a stolen agent certificate
+    /// must not be enough to use another agent's endpoint or to write to the platform.
+    pub fn may_send(self, body: &RequestBody) -> bool {
         match body {
             RequestBody::Run(_)
             | RequestBody::Void(_)
@@ -115,11 +115,11 @@
         }
     }
 
-    /// The role whose answer to `body` alone is taken; `None` where any peer's is.
+    /// The role that a peer must have to reply to `body`; `None` if any peer may.
     ///
-    /// A certificate proves a role and not an address, and addresses are hearsay. Without this, an
-    /// agent's certificate would be enough to answer for the platform.
-    pub fn answerer(body: &RequestBody) -> Option<Role> {
+    /// A certificate proves a role but no address, and addresses come unverified from gossip. Without
+    /// this check an agent's certificate would be enough to reply in place of the platform.
+    pub fn responder(body: &RequestBody) -> Option<Role> {
         match body {
             RequestBody::Run(_) | RequestBody::Void(_) | RequestBody::Weights(_) => {
                 Some(Role::Agent)
@@ -130,7 +130,7 @@
     }
 }
 
-/// Who a peer's certificate says it is.
+/// Host and role that a peer's certificate names.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Identity {
     /// Its host.
@@ -172,7 +172,7 @@
         Ok(Arc::new(roots))
     }
 
-    /// The QUIC side that accepts connections; it demands a certificate of the fleet.
+    /// Configuration for accepting QUIC connections; clients must present a certificate of the fleet.
     pub fn server_config(&self) -> Result<quinn::ServerConfig> {
         let invalid = |e: String| TlsError::Invalid(e);
         let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -192,7 +192,7 @@
         Ok(config)
     }
 
-    /// The QUIC side that opens connections.
+    /// Configuration for opening QUIC connections.
     pub fn client_config(&self) -> Result<quinn::ClientConfig> {
         let invalid = |e: String| TlsError::Invalid(e);
         let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -210,10 +210,11 @@
     }
 }
 
-/// Settings of a connection for control alone: heartbeats are its only traffic, and keep-alives
-/// between them would cost more bytes than the heartbeats.
+/// Parameters of control connections: heartbeats are their only traffic, and keep-alives between
+/// them would cost more bytes than the heartbeats.
 ///
-/// The accepting side has these settings too: the opening side asks for what its use needs.
+/// The accepting side has these parameters too; the connecting side sets the stricter ones that its
+/// traffic class needs.
 pub(crate) fn control_transport_config() -> quinn::TransportConfig {
     let idle = quinn::IdleTimeout::from(quinn::VarInt::from_u32(CONTROL_IDLE_TIMEOUT_MS));
     let mut config = transport_config();
@@ -224,7 +225,7 @@
 fn transport_config() -> quinn::TransportConfig {
     let mut config = quinn::TransportConfig::default();
     config
-        .keep_alive_interval(Some(KEEP_ALIVE))
+        .keep_alive_interval(Some(KEEP_ALIVE_INTERVAL))
         .max_idle_timeout(Some(quinn::IdleTimeout::from(quinn::VarInt::from_u32(IDLE_TIMEOUT_MS))))
         .max_concurrent_bidi_streams(MAX_STREAMS.into())
         .max_concurrent_uni_streams(0u8.into());
@@ -236,7 +237,7 @@
 }
 
 /// Reads host and role from the first certificate of a verified chain.
-pub fn scan_identity(chain: &[CertificateDer<'_>]) -> Option<Identity> {
+pub fn parse_identity(chain: &[CertificateDer<'_>]) -> Option<Identity> {
     let (_, certificate) = x509_parser::parse_x509_certificate(chain.first()?).ok()?;
     let names = certificate.subject_alternative_name().ok()??;
     let mut role = None;
@@ -268,7 +269,7 @@
 }
 
 impl DevelopmentCa {
-    /// Makes a new certificate authority.
+    /// Generates a self-signed certificate authority with a new key.
     pub fn generate() -> Result<DevelopmentCa> {
         let invalid = |e: rcgen::Error| TlsError::Invalid(e.to_string());
         let mut params = CertificateParams::new(Vec::new()).map_err(invalid)?;
@@ -283,8 +284,8 @@
         self.certificate.pem()
     }
 
-    /// Issues a certificate for `host` in `role`, valid for `days` days from yesterday; a negative
-    /// number gives one that has expired.
+    /// Issues a certificate for `host` in `role` that expires in `days` days; a negative number gives
+    /// one that has expired.
     pub fn issue(&self, host: &HostName, role: Role, days: i64) -> Result<Issued> {
         let invalid = |e: rcgen::Error| TlsError::Invalid(e.to_string());
         let names = vec![
@@ -304,7 +305,7 @@
         Ok(Issued { certificate: certificate.pem(), key: key.serialize_pem() })
     }
 
-    /// Issues a certificate and loads it at once.
+    /// Issues a certificate that is valid for a year, and loads it.
     pub fn material(&self, host: &HostName, role: Role) -> Result<Material> {
         let issued = self.issue(host, role, 365)?;
         Material::from_pem(&issued.certificate, &issued.key, &self.pem())
--- a/node/src/transport.rs
+++ b/node/src/transport.rs
@@ -1,8 +1,8 @@
 //! The transport thread: QUIC connections to and from the other processes.
 //!
-//! One thread runs quinn on a current-thread runtime. Other threads hand it asks over a bounded
-//! ring and get replies over a ring of their own; incoming asks go to the ring given at start.
-//! A full incoming ring refuses the ask with [`Code::Busy`] instead of growing.
+//! One thread runs quinn on a current-thread runtime. Other threads submit requests through a
+//! bounded queue, and each call has its own reply queue. Incoming requests go to the queue passed to
+//! [`Transport::start`]; when it is full, the request is rejected with [`Code::Busy`].
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,50 +26,50 @@
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
 
-use self::silence::Asks;
-use self::silence::Outstanding;
+use self::watchdog::InFlightGuard;
+use self::watchdog::RequestsInFlight;
 use crate::tls::Identity;
 use crate::tls::Material;
 use crate::tls::PEER_NAME;
 use crate::tls::Role;
 use crate::tls::control_transport_config;
-use crate::tls::scan_identity;
+use crate::tls::parse_identity;
 
-mod silence;
+mod watchdog;
 
-/// Result of the transport.
+/// Result of a transport operation.
 pub type Result<T> = std::result::Result<T, Code>;
 
-/// Asks waiting for the transport thread.
-const JOB_RING: usize = 1_024;
+/// Capacity of the queue of calls to the transport thread.
+const CALL_QUEUE_LEN: usize = 1_024;
 
-/// Replies waiting for the asking thread, per ask.
-const REPLY_RING: usize = 64;
+/// Capacity of the reply queue of a call.
+const REPLY_QUEUE_LEN: usize = 64;
 
-/// How long connecting may take before the peer counts as unreachable.
+/// A peer that has not completed the handshake by then is unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long a peer may take to send its ask after it opened a stream.
-const ASK_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bounds the time between a peer opening a stream and its complete request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An ask that arrived, and where its replies go.
+/// A received request and the sink for its replies.
 pub struct Incoming {
-    /// Who asks, by certificate.
+    /// Sender, as proved by its certificate.
     pub peer: Identity,
-    /// What it asks.
+    /// The decoded request; its sender's host matches `peer`.
     pub request: RequestMessage,
-    /// Where replies go; dropping it ends the stream.
+    /// Dropping every clone finishes the stream.
     pub replies: ReplySink,
 }
 
-/// Takes the replies to one ask.
+/// Sends the replies to one request.
 #[derive(Clone)]
 pub struct ReplySink {
     tx: flume::Sender<Reply>,
     cancelled: Arc<Cancelled>,
 }
 
-/// Whether the asker has left, and who waits to hear of it.
+/// Cancellation flag of a call, with the tasks to wake when it is set.
 #[derive(Debug, Default)]
 struct Cancelled {
     is_set: AtomicBool,
@@ -84,13 +84,14 @@
 }
 
 impl ReplySink {
-    /// A sink outside the transport, for tests and in-process callers.
+    /// A sink that is not bound to a stream, with the receiver of its replies.
     pub fn pair() -> (ReplySink, flume::Receiver<Reply>) {
-        let (tx, rx) = flume::bounded(REPLY_RING);
+        let (tx, rx) = flume::bounded(REPLY_QUEUE_LEN);
         (ReplySink { tx, cancelled: Arc::default() }, rx)
     }
 
-    /// Sends one reply, blocking while the ring is full. Fails when the asker has left.
+    /// Sends one reply, blocking while the queue is full. Fails with [`Code::CallerLeft`] once the
+    /// caller has cancelled.
     pub fn send(&self, reply: Reply) -> Result<()> {
         if self.is_cancelled() {
             return Err(Code::CallerLeft);
@@ -98,7 +99,7 @@
         self.tx.send(reply).map_err(|_| Code::CallerLeft)
     }
 
-    /// Like [`ReplySink::send`], for tasks.
+    /// Async form of [`ReplySink::send`].
     pub async fn send_async(&self, reply: Reply) -> Result<()> {
         if self.is_cancelled() {
             return Err(Code::CallerLeft);
@@ -106,12 +107,12 @@
         self.tx.send_async(reply).await.map_err(|_| Code::CallerLeft)
     }
 
-    /// Whether the asker has left.
+    /// Whether the caller has cancelled the call or disconnected.
     pub fn is_cancelled(&self) -> bool {
         self.cancelled.is_set.load(Ordering::Acquire) || self.tx.is_disconnected()
     }
 
-    /// Ends when the asker has left.
+    /// Completes when the caller has cancelled the call.
     pub async fn closed(&self) {
         let notified = self.cancelled.set.notified();
         if !self.is_cancelled() {
@@ -120,7 +121,7 @@
     }
 }
 
-/// An ask under way; dropping it tells the peer that nobody waits any more.
+/// A call in flight; dropping it cancels the request at the peer.
 pub struct Call {
     replies: flume::Receiver<Result<Reply>>,
     _cancel: oneshot::Sender<()>,
@@ -143,23 +144,24 @@
     }
 }
 
-/// What a connection is for. Control has its own connections, which live long without traffic.
+/// Traffic class of a connection. Control messages have connections of their own, which stay open
+/// through long idle periods.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Use {
+enum TrafficClass {
     Requests,
     Control,
 }
 
-impl Use {
-    fn of(body: &RequestBody) -> Use {
+impl TrafficClass {
+    fn of(body: &RequestBody) -> TrafficClass {
         match body {
-            RequestBody::Members(_) | RequestBody::Spread(_) => Use::Control,
-            _ => Use::Requests,
+            RequestBody::Members(_) | RequestBody::Spread(_) => TrafficClass::Control,
+            _ => TrafficClass::Requests,
         }
     }
 }
 
-/// Bytes of UDP payload over all connections so far.
+/// Bytes of UDP payload of all connections since the start.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Traffic {
     /// Sent.
@@ -168,20 +170,20 @@
     pub received: u64,
 }
 
-/// Open connections, and the traffic of those that are closed.
+/// Open connections, and the total traffic of closed ones.
 #[derive(Clone, Debug, Default)]
-struct Meter {
+struct TrafficMeter {
     inner: Arc<Mutex<(Vec<Connection>, Traffic)>>,
 }
 
-impl Meter {
+impl TrafficMeter {
     fn add(&self, connection: &Connection) {
         let mut inner = self.inner.lock().expect("no holder of this lock panics");
         let (open, closed) = &mut *inner;
         open.retain(|old| {
             let is_open = old.close_reason().is_none();
             if !is_open {
-                count(old, closed);
+                add_traffic(old, closed);
             }
             is_open
         });
@@ -191,23 +193,23 @@
     fn read(&self) -> Traffic {
         let inner = self.inner.lock().expect("no holder of this lock panics");
         let (open, mut traffic) = (&inner.0, inner.1);
-        open.iter().for_each(|connection| count(connection, &mut traffic));
+        open.iter().for_each(|connection| add_traffic(connection, &mut traffic));
         traffic
     }
 }
 
-fn count(connection: &Connection, traffic: &mut Traffic) {
+fn add_traffic(connection: &Connection, traffic: &mut Traffic) {
     let stats = connection.stats();
     traffic.sent += stats.udp_tx.bytes;
     traffic.received += stats.udp_rx.bytes;
 }
 
-struct Job {
+struct PendingCall {
     to: SocketAddr,
-    purpose: Use,
-    /// The role that alone may answer, if not any may.
-    answerer: Option<Role>,
-    ask: Vec<u8>,
+    class: TrafficClass,
+    /// The role that the peer must have; `None` accepts any.
+    responder: Option<Role>,
+    request: Vec<u8>,
     replies: flume::Sender<Result<Reply>>,
     cancelled: oneshot::Receiver<()>,
 }
@@ -215,14 +217,14 @@
 /// Handle of the transport thread.
 #[derive(Clone)]
 pub struct Transport {
-    jobs: flume::Sender<Job>,
+    calls: flume::Sender<PendingCall>,
     local: SocketAddr,
     crash: Arc<Notify>,
-    meter: Meter,
+    meter: TrafficMeter,
 }
 
 impl Transport {
-    /// Binds `address` and starts the thread. It ends when every handle is dropped.
+    /// Binds `address` and starts the thread, which ends when every handle is dropped.
     pub fn start(
         address: SocketAddr,
         material: &Material,
@@ -243,10 +245,10 @@
             endpoint
         };
         let local = endpoint.local_addr().map_err(|_| Code::CannotBind)?;
-        let (jobs, rx) = flume::bounded(JOB_RING);
+        let (calls, rx) = flume::bounded(CALL_QUEUE_LEN);
         let crash = Arc::new(Notify::new());
         let crashed = crash.clone();
-        let meter = Meter::default();
+        let meter = TrafficMeter::default();
         let pool = Pool { control, open: Arc::default(), meter: meter.clone() };
         let serve = async move {
             tokio::select! {
@@ -258,48 +260,49 @@
             .name("transport".to_owned())
             .spawn(move || runtime.block_on(serve))
             .map_err(|_| Code::CannotBind)?;
-        Ok(Transport { jobs, local, crash, meter })
+        Ok(Transport { calls, local, crash, meter })
     }
 
-    /// Ends the thread at once and without a goodbye to any peer, as a crash does.
+    /// Ends the thread at once without closing any connection, as a crash does.
     pub fn crash(&self) {
         self.crash.notify_one();
     }
 
-    /// Bytes sent and received so far, without the headers of IP and UDP.
+    /// Bytes sent and received since the start, without IP and UDP headers.
     pub fn traffic(&self) -> Traffic {
         self.meter.read()
     }
 
-    /// The address that is bound.
+    /// The bound address, with the port that the system chose if 0 was requested.
     pub fn local_addr(&self) -> SocketAddr {
         self.local
     }
 
-    /// Sends `ask` to the process at `to`.
+    /// Sends `request` to the process at `to`.
     ///
-    /// [`Code::Unreachable`] and [`Code::Busy`] prove that no byte left; [`Code::PeerLost`] means
-    /// that the ask may have arrived.
-    pub fn call(&self, to: SocketAddr, ask: &RequestMessage) -> Call {
-        let (replies, rx) = flume::bounded(REPLY_RING);
+    /// [`Code::Unreachable`] and [`Code::Busy`] prove that no byte was sent; after
+    /// [`Code::PeerLost`] the peer may have received the request.
+    pub fn call(&self, to: SocketAddr, request: &RequestMessage) -> Call {
+        let (replies, rx) = flume::bounded(REPLY_QUEUE_LEN);
         let (cancel, cancelled) = oneshot::channel();
-        let (purpose, answerer) = (Use::of(&ask.body), Role::answerer(&ask.body));
-        let ask = wire::encode(ask);
-        let job = Job { to, purpose, answerer, ask, replies: replies.clone(), cancelled };
-        if self.jobs.try_send(job).is_err() {
+        let (class, responder) = (TrafficClass::of(&request.body), Role::responder(&request.body));
+        let request = wire::encode(request);
+        let call =
+            PendingCall { to, class, responder, request, replies: replies.clone(), cancelled };
+        if self.calls.try_send(call).is_err() {
             let _ = replies.try_send(Err(Code::Busy));
         }
         Call { replies: rx, _cancel: cancel }
     }
 
-    /// Sends `ask` and waits up to `timeout` for its only reply.
-    pub fn ask_one(
+    /// Sends `request` and waits up to `timeout` for its only reply.
+    pub fn call_unary(
         &self,
         to: SocketAddr,
-        ask: &RequestMessage,
+        request: &RequestMessage,
         timeout: Duration,
     ) -> Result<Reply> {
-        match self.call(to, ask).next_timeout(timeout) {
+        match self.call(to, request).next_timeout(timeout) {
             Some(Ok(reply)) => Ok(reply),
             Some(Err(code)) => Err(code),
             None => Err(Code::PeerLost),
@@ -307,56 +310,57 @@
     }
 }
 
-/// A connection that asks go out on, and which of them wait.
+/// An outgoing connection with its requests in flight.
 #[derive(Clone)]
 struct Peer {
     connection: Connection,
     role: Option<Role>,
-    asks: Arc<Asks>,
+    in_flight: Arc<RequestsInFlight>,
 }
 
-/// The connections that asks go out on, one a peer and use.
+/// Outgoing connections, one per peer and traffic class.
 #[derive(Clone)]
 struct Pool {
     control: quinn::ClientConfig,
-    open: Arc<Mutex<HashMap<(SocketAddr, Use), Peer>>>,
-    meter: Meter,
+    open: Arc<Mutex<HashMap<(SocketAddr, TrafficClass), Peer>>>,
+    meter: TrafficMeter,
 }
 
 impl Pool {
-    fn get(&self, to: SocketAddr, purpose: Use) -> Option<Peer> {
+    fn get(&self, to: SocketAddr, class: TrafficClass) -> Option<Peer> {
         let mut open = self.open.lock().expect("no holder of this lock panics");
-        let peer = open.get(&(to, purpose))?;
+        let peer = open.get(&(to, class))?;
         if peer.connection.close_reason().is_some() {
-            open.remove(&(to, purpose));
+            open.remove(&(to, class));
             return None;
         }
         Some(peer.clone())
     }
 
-    fn put(&self, to: SocketAddr, purpose: Use, connection: Connection) -> Peer {
+    fn put(&self, to: SocketAddr, class: TrafficClass, connection: Connection) -> Peer {
         self.meter.add(&connection);
         let role = identity_of(&connection).map(|identity| identity.role);
-        let peer = Peer { connection, role, asks: Arc::default() };
+        let peer = Peer { connection, role, in_flight: Arc::default() };
         let mut open = self.open.lock().expect("no holder of this lock panics");
-        open.insert((to, purpose), peer.clone());
+        open.insert((to, class), peer.clone());
         peer
     }
 
-    /// Requests go out on `connection` from now on; it is watched for silence.
+    /// Makes `connection` the one that requests to this peer use, and starts its watchdog.
     fn replace(&self, endpoint: &Endpoint, to: SocketAddr, connection: Connection) -> Peer {
-        let peer = self.put(to, Use::Requests, connection.clone());
-        let asks = peer.asks.clone();
-        let watched = silence::watch(endpoint.clone(), self.clone(), to, connection, asks);
+        let peer = self.put(to, TrafficClass::Requests, connection.clone());
+        let in_flight = peer.in_flight.clone();
+        let watched = watchdog::run(endpoint.clone(), self.clone(), to, connection, in_flight);
         tokio::spawn(watched);
         peer
     }
 
-    /// A restarted peer knows nothing of the old connection, which would stay silent until its
-    /// long idle timeout; the peer would be suspected all that time.
-    fn give_up(&self, to: SocketAddr, purpose: Use) {
+    /// Closes a control connection that got no reply. A restarted peer has no state for the old
+    /// connection, which would stay silent until its long idle timeout, and the peer would be
+    /// suspected until then.
+    fn discard(&self, to: SocketAddr, class: TrafficClass) {
         let mut open = self.open.lock().expect("no holder of this lock panics");
-        if let Some(peer) = open.remove(&(to, purpose)) {
+        if let Some(peer) = open.remove(&(to, class)) {
             peer.connection.close(0u8.into(), b"silent");
         }
     }
@@ -365,61 +369,66 @@
 async fn run(
     endpoint: Endpoint,
     pool: Pool,
-    jobs: flume::Receiver<Job>,
+    calls: flume::Receiver<PendingCall>,
     incoming: flume::Sender<Incoming>,
 ) {
     let meter = pool.meter.clone();
     let accepting = tokio::spawn(accept_all(endpoint.clone(), incoming, meter));
-    while let Ok(job) = jobs.recv_async().await {
+    while let Ok(call) = calls.recv_async().await {
         let endpoint = endpoint.clone();
         let pool = pool.clone();
-        tokio::spawn(async move { serve_job(endpoint, pool, job).await });
+        tokio::spawn(async move { run_call(endpoint, pool, call).await });
     }
     accepting.abort();
     endpoint.close(0u8.into(), b"stopping");
     endpoint.wait_idle().await;
 }
 
-async fn connect(endpoint: &Endpoint, pool: &Pool, to: SocketAddr, purpose: Use) -> Result<Peer> {
-    if let Some(peer) = pool.get(to, purpose) {
+async fn connect(
+    endpoint: &Endpoint,
+    pool: &Pool,
+    to: SocketAddr,
+    class: TrafficClass,
+) -> Result<Peer> {
+    if let Some(peer) = pool.get(to, class) {
         return Ok(peer);
     }
-    let connecting = match purpose {
-        Use::Requests => endpoint.connect(to, PEER_NAME),
-        Use::Control => endpoint.connect_with(pool.control.clone(), to, PEER_NAME),
+    let connecting = match class {
+        TrafficClass::Requests => endpoint.connect(to, PEER_NAME),
+        TrafficClass::Control => endpoint.connect_with(pool.control.clone(), to, PEER_NAME),
     };
     let connecting = connecting.map_err(|_| Code::Unreachable)?;
     let connection = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
         .await
         .map_err(|_| Code::Unreachable)?
         .map_err(|_| Code::Unreachable)?;
-    Ok(match purpose {
-        Use::Requests => pool.replace(endpoint, to, connection),
-        Use::Control => pool.put(to, purpose, connection),
+    Ok(match class {
+        TrafficClass::Requests => pool.replace(endpoint, to, connection),
+        TrafficClass::Control => pool.put(to, class, connection),
     })
 }
 
-async fn serve_job(endpoint: Endpoint, pool: Pool, job: Job) {
-    let Job { to, purpose, answerer, ask, replies, cancelled } = job;
-    let opened = open_stream(&endpoint, &pool, to, purpose, answerer).await;
-    let (mut tx, mut rx, _outstanding) = match opened {
+async fn run_call(endpoint: Endpoint, pool: Pool, call: PendingCall) {
+    let PendingCall { to, class, responder, request, replies, cancelled } = call;
+    let opened = open_stream(&endpoint, &pool, to, class, responder).await;
+    let (mut tx, mut rx, _guard) = match opened {
         Ok(streams) => streams,
         Err(code) => {
             let _ = replies.send_async(Err(code)).await;
             return;
         }
     };
-    if tx.write_all(&ask).await.is_err() || tx.finish().is_err() {
+    if tx.write_all(&request).await.is_err() || tx.finish().is_err() {
         let _ = replies.send_async(Err(Code::PeerLost)).await;
         return;
     }
-    let answered = AtomicBool::new(false);
+    let replied = AtomicBool::new(false);
     tokio::select! {
-        () = forward_replies(&mut rx, &replies, &answered) => {}
+        () = forward_replies(&mut rx, &replies, &replied) => {}
         _ = cancelled => {
             let _ = rx.stop(0u8.into());
-            if purpose == Use::Control && !answered.load(Ordering::Relaxed) {
-                pool.give_up(to, purpose);
+            if class == TrafficClass::Control && !replied.load(Ordering::Relaxed) {
+                pool.discard(to, class);
             }
         }
     }
@@ -429,32 +438,32 @@
     endpoint: &Endpoint,
     pool: &Pool,
     to: SocketAddr,
-    purpose: Use,
-    answerer: Option<Role>,
-) -> Result<(SendStream, RecvStream, Outstanding)> {
-    let peer = connect(endpoint, pool, to, purpose).await?;
-    if answerer.is_some() && peer.role != answerer {
+    class: TrafficClass,
+    responder: Option<Role>,
+) -> Result<(SendStream, RecvStream, InFlightGuard)> {
+    let peer = connect(endpoint, pool, to, class).await?;
+    if responder.is_some() && peer.role != responder {
         return Err(Code::WrongRole);
     }
     let (tx, rx) = peer.connection.open_bi().await.map_err(|_| Code::Unreachable)?;
-    let outstanding = peer.asks.begin(&peer.connection);
-    Ok((tx, rx, outstanding))
+    let guard = peer.in_flight.begin(&peer.connection);
+    Ok((tx, rx, guard))
 }
 
 async fn forward_replies(
     rx: &mut RecvStream,
     replies: &flume::Sender<Result<Reply>>,
-    answered: &AtomicBool,
+    replied: &AtomicBool,
 ) {
     loop {
         let reply = match read_message::<Reply>(rx).await {
             Ok(Some(reply)) => Ok(reply),
             Ok(None) => return,
-            // The ask was taken, whatever is wrong with its reply: no proof that it did not run.
+            // The peer accepted the request, so a malformed reply does not prove that it did not run.
             Err(_) => Err(Code::PeerLost),
         };
         let last = reply.is_err();
-        answered.store(true, Ordering::Relaxed);
+        replied.store(true, Ordering::Relaxed);
         if replies.send_async(reply).await.is_err() || last {
             return;
         }
@@ -475,7 +484,7 @@
     wire::decode(&buf).map(Some)
 }
 
-async fn accept_all(endpoint: Endpoint, incoming: flume::Sender<Incoming>, meter: Meter) {
+async fn accept_all(endpoint: Endpoint, incoming: flume::Sender<Incoming>, meter: TrafficMeter) {
     while let Some(connecting) = endpoint.accept().await {
         let (incoming, meter) = (incoming.clone(), meter.clone());
         tokio::spawn(async move {
@@ -502,7 +511,7 @@
 fn identity_of(connection: &Connection) -> Option<Identity> {
     let chain = connection.peer_identity()?;
     let chain = chain.downcast::<Vec<rustls::pki_types::CertificateDer<'static>>>().ok()?;
-    scan_identity(&chain)
+    parse_identity(&chain)
 }
 
 async fn serve_stream(
@@ -511,13 +520,13 @@
     mut rx: RecvStream,
     incoming: flume::Sender<Incoming>,
 ) {
-    let read = tokio::time::timeout(ASK_TIMEOUT, read_message::<RequestMessage>(&mut rx)).await;
+    let read = tokio::time::timeout(REQUEST_TIMEOUT, read_message::<RequestMessage>(&mut rx)).await;
     let request = match read {
         Ok(Ok(Some(request))) => request,
         Ok(Err(code)) => return refuse(&mut tx, code).await,
         Ok(Ok(None)) | Err(_) => return,
     };
-    if !peer.role.may_ask(&request.body) || peer.host != request.from.host {
+    if !peer.role.may_send(&request.body) || peer.host != request.from.host {
         return refuse(&mut tx, Code::WrongRole).await;
     }
     let (sink, replies) = ReplySink::pair();
--- a/node/tests/proof/files.rs
+++ b/node/tests/proof/files.rs
@@ -13,8 +13,8 @@
 use mastichaven_node::publish;
 use mastichaven_node::settings;
 use mastichaven_node::settings::AgentSettings;
-use mastichaven_node::settings::Checked;
 use mastichaven_node::settings::EntrySettings;
+use mastichaven_node::settings::Validate;
 use proptest::collection::vec;
 use proptest::prelude::ProptestConfig;
 use proptest::prelude::any;
@@ -45,7 +45,7 @@
 }
 
 /// A refusal names a line of the file, so that an operator finds what to mend.
-fn assert_refused_with_line<T: Checked + DeserializeOwned>(text: &str) {
+fn assert_refused_with_line<T: Validate + DeserializeOwned>(text: &str) {
     if let Err(error) = settings::parse::<T>(Path::new("settings.toml"), text) {
         let lines = text.matches('\n').count() + 1;
         assert!((1..=lines).contains(&error.line), "line {} of {lines}", error.line);
--- a/node/tests/requests/connection_loss.rs
+++ b/node/tests/requests/connection_loss.rs
@@ -58,26 +58,26 @@
 // idle timeout of the connection, and the next request must succeed. The timeouts are loose for
 // busy machines.
 #[test]
-fn ask_one_on_silent_connection() {
+fn call_unary_on_silent_connection() {
     let connected = connect(Duration::ZERO);
     assert!(
-        connected.client.ask_one(connected.proxy.address(), &connected.ask, ASK_TIMEOUT).is_ok()
+        connected.client.call_unary(connected.proxy.address(), &connected.ask, ASK_TIMEOUT).is_ok()
     );
     connected.proxy.forget_connections();
     let sent_at = Instant::now();
-    let lost = connected.client.ask_one(connected.proxy.address(), &connected.ask, ASK_TIMEOUT);
+    let lost = connected.client.call_unary(connected.proxy.address(), &connected.ask, ASK_TIMEOUT);
     println!("failed after {:?}", sent_at.elapsed());
     assert_eq!(lost.unwrap_err(), Code::PeerLost);
     assert!(
-        connected.client.ask_one(connected.proxy.address(), &connected.ask, ASK_TIMEOUT).is_ok()
+        connected.client.call_unary(connected.proxy.address(), &connected.ask, ASK_TIMEOUT).is_ok()
     );
 }
 
 // A slow peer must not be treated as a lost connection, because a retry would run the request
 // twice.
 #[test]
-fn ask_one_to_slow_peer() {
+fn call_unary_to_slow_peer() {
     let connected = connect(Duration::from_secs(4));
     let address = connected.proxy.address();
-    assert!(connected.client.ask_one(address, &connected.ask, ASK_TIMEOUT).is_ok());
+    assert!(connected.client.call_unary(address, &connected.ask, ASK_TIMEOUT).is_ok());
 }
--- a/node/tests/shell/main.rs
+++ b/node/tests/shell/main.rs
@@ -1,4 +1,4 @@
-//! The outer parts: settings, ports, TLS, the platform's adapter, and the programs themselves.
+//! Tests of settings, ports, TLS, the platform adapter and the programs.
 
 mod examples;
 mod operator;
@@ -9,5 +9,5 @@
 mod tls;
 mod walkthrough;
 
-/// Any free port on loopback.
+/// Binds a free port on loopback.
 const ANY: &str = "127.0.0.1:0";
--- a/node/tests/shell/platform.rs
+++ b/node/tests/shell/platform.rs
@@ -1,4 +1,4 @@
-//! The adapter towards the platform.
+//! The HTTP adapter of the platform's object store.
 
 use std::io::Read;
 use std::io::Write;
@@ -15,9 +15,10 @@
 use crate::ANY;
 
 #[test]
-fn put_with_lost_answer_is_unknown() {
-    // The platform takes a write and its answer is lost. If the adapter took the cut connection
-    // for a refusal, a booking would be reported as not run, and run again under another claim.
+fn put_with_lost_response_is_unknown() {
+    // The platform applies a write and the response is lost. If the adapter treated the broken
+    // connection as a rejection, a booking would be reported as not run, and run again under another
+    // claim.
     let platform = Platform::start(ANY).unwrap();
     let store = HttpStore::new(platform.base());
     platform.set_faults(|faults| faults.lose_answers = 1);
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn put_on_closed_port_is_down() {
+fn put_to_closed_port_is_down() {
     let free = TcpListener::bind(ANY).unwrap().local_addr().unwrap();
     let store = HttpStore::new(format!("http://{free}"));
     let put = store.put("claim", Bytes::from_static(b"a"), Expect::Absent);
@@ -35,9 +36,9 @@
 }
 
 #[test]
-fn get_of_chunked_value_cut_short_is_refused() {
-    // A chunked answer whose connection ends between two chunks looks whole to the HTTP client. Half
-    // a configuration would be put in force.
+fn get_of_truncated_chunked_value_is_malformed() {
+    // A chunked response whose connection closes between two chunks looks complete to the HTTP client.
+    // Half a configuration would be applied.
     let listener = TcpListener::bind(ANY).unwrap();
     let store = HttpStore::new(format!("http://{}", listener.local_addr().unwrap()));
     let server = thread::spawn(move || {
--- a/node/tests/shell/settings.rs
+++ b/node/tests/shell/settings.rs
@@ -7,8 +7,8 @@
 use mastichaven_core::Code;
 use mastichaven_node::settings;
 use mastichaven_node::settings::AgentSettings;
-use mastichaven_node::settings::Checked;
 use mastichaven_node::settings::EntrySettings;
+use mastichaven_node::settings::Validate;
 use serde::de::DeserializeOwned;
 
 const ENTRY: &str = r#"callers = "127.0.0.1:8080"
@@ -51,7 +51,7 @@
 service = "booking"
 "#;
 
-fn refused<T: Checked + DeserializeOwned>(text: &str) -> String {
+fn refused<T: Validate + DeserializeOwned>(text: &str) -> String {
     let settings = settings::parse::<T>(Path::new("x.toml"), text);
     settings.err().map_or_else(|| panic!("accepted: {text}"), |error| error.to_string())
 }
@@ -99,7 +99,7 @@
 }
 
 /// The keys that a table takes, as the parser lists them when it refuses another one.
-fn keys_of<T: Checked + DeserializeOwned>(text: &str) -> BTreeSet<String> {
+fn keys_of<T: Validate + DeserializeOwned>(text: &str) -> BTreeSet<String> {
     let error = refused::<T>(text);
     let (_, expected) = error.split_once("expected").unwrap();
     expected.split('`').skip(1).step_by(2).map(str::to_owned).collect()
--- a/node/tests/shell/tls.rs
+++ b/node/tests/shell/tls.rs
@@ -1,4 +1,4 @@
-//! Who may connect to a process, and what it may ask.
+//! Mutual TLS: which peers may connect, and which requests their role permits.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -20,18 +20,18 @@
 
 use crate::ANY;
 
-/// How long a refusal may take; far longer than it does.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Bounds the wait for a rejection, with a wide margin.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
-const RELAY_RING: usize = 8;
+const INCOMING_QUEUE_LEN: usize = 8;
 
 fn material(ca: &DevelopmentCa, host: &str, role: Role, days: i64) -> Material {
     let issued = ca.issue(&host.into(), role, days).unwrap();
     Material::from_pem(&issued.certificate, &issued.key, &ca.pem()).unwrap()
 }
 
-fn transport(material: &Material) -> Transport {
-    let (tx, rx) = flume::bounded(RELAY_RING);
+fn start_transport(material: &Material) -> Transport {
+    let (tx, rx) = flume::bounded(INCOMING_QUEUE_LEN);
     let transport = Transport::start(ANY.parse().unwrap(), material, tx).unwrap();
     thread::spawn(move || {
         for incoming in rx {
@@ -42,98 +42,99 @@
     transport
 }
 
-fn ask(
+fn send_request(
     transport: &Transport,
     to: SocketAddr,
     host: &str,
     body: RequestBody,
 ) -> Result<Reply, Code> {
     let from = Sender { host: host.into(), ..Sender::default() };
-    transport.ask_one(to, &RequestMessage { from, body }, LIMIT)
+    transport.call_unary(to, &RequestMessage { from, body }, REPLY_TIMEOUT)
 }
 
-fn relay() -> RequestBody {
+fn relay_request() -> RequestBody {
     RequestBody::Relay(RelayRequest::Get("config/accepted".into()))
 }
 
-fn refused(reply: Result<Reply, Code>) -> bool {
+fn is_wrong_role(reply: Result<Reply, Code>) -> bool {
     matches!(reply, Ok(Reply { body: ReplyBody::Refused(Code::WrongRole), .. }))
 }
 
 #[test]
-fn peer_of_the_fleet_is_answered() {
+fn call_unary_between_fleet_peers_succeeds() {
     let ca = DevelopmentCa::generate().unwrap();
-    let server = transport(&material(&ca, "entry-1", Role::Entry, 1));
-    let client = transport(&material(&ca, "entry-2", Role::Entry, 1));
-    let reply = ask(&client, server.local_addr(), "entry-2", relay()).unwrap();
+    let server = start_transport(&material(&ca, "entry-1", Role::Entry, 1));
+    let client = start_transport(&material(&ca, "entry-2", Role::Entry, 1));
+    let reply = send_request(&client, server.local_addr(), "entry-2", relay_request()).unwrap();
     assert_eq!(reply.body, ReplyBody::Relay(RelayReply::Unavailable));
 }
 
 #[test]
-fn peer_of_another_authority_is_refused_on_both_sides() {
-    // Somebody runs a process with certificates of his own making. Neither can it ask anything of
-    // the fleet, nor does the fleet send it a request.
+fn certificate_of_other_authority_is_rejected_by_both_sides() {
+    // A process has certificates of another authority. The fleet accepts no request from it and sends
+    // it none.
     let ca = DevelopmentCa::generate().unwrap();
-    let server = transport(&material(&ca, "entry-1", Role::Entry, 1));
-    let stranger = DevelopmentCa::generate().unwrap();
-    let client = transport(&material(&stranger, "entry-2", Role::Entry, 1));
-    assert!(ask(&client, server.local_addr(), "entry-2", relay()).is_err());
-    assert!(ask(&server, client.local_addr(), "entry-1", relay()).is_err());
+    let server = start_transport(&material(&ca, "entry-1", Role::Entry, 1));
+    let other_ca = DevelopmentCa::generate().unwrap();
+    let client = start_transport(&material(&other_ca, "entry-2", Role::Entry, 1));
+    assert!(send_request(&client, server.local_addr(), "entry-2", relay_request()).is_err());
+    assert!(send_request(&server, client.local_addr(), "entry-1", relay_request()).is_err());
 }
 
 #[test]
-fn peer_with_authority_of_fleet_but_foreign_certificate_is_refused() {
-    // The stranger has got hold of the fleet's public authority, so that it accepts the fleet. The
-    // fleet still does not accept it.
+fn foreign_client_certificate_is_rejected() {
+    // The process trusts the fleet's public authority certificate but has a certificate of another
+    // authority. The fleet must still reject it.
     let ca = DevelopmentCa::generate().unwrap();
-    let server = transport(&material(&ca, "entry-1", Role::Entry, 1));
-    let stranger = DevelopmentCa::generate().unwrap();
-    let issued = stranger.issue(&"entry-2".into(), Role::Entry, 1).unwrap();
+    let server = start_transport(&material(&ca, "entry-1", Role::Entry, 1));
+    let other_ca = DevelopmentCa::generate().unwrap();
+    let issued = other_ca.issue(&"entry-2".into(), Role::Entry, 1).unwrap();
     let foreign = Material::from_pem(&issued.certificate, &issued.key, &ca.pem()).unwrap();
-    let client = transport(&foreign);
-    assert!(ask(&client, server.local_addr(), "entry-2", relay()).is_err());
+    let client = start_transport(&foreign);
+    assert!(send_request(&client, server.local_addr(), "entry-2", relay_request()).is_err());
 }
 
 #[test]
-fn expired_certificate_is_refused() {
-    // A host that was set aside long ago is switched on again. Its certificate has expired.
+fn expired_certificate_is_rejected() {
+    // A host returns after a long outage with an expired certificate.
     let ca = DevelopmentCa::generate().unwrap();
-    let server = transport(&material(&ca, "entry-1", Role::Entry, 1));
-    let client = transport(&material(&ca, "entry-2", Role::Entry, -1));
-    assert!(ask(&client, server.local_addr(), "entry-2", relay()).is_err());
-    assert!(ask(&server, client.local_addr(), "entry-1", relay()).is_err());
+    let server = start_transport(&material(&ca, "entry-1", Role::Entry, 1));
+    let client = start_transport(&material(&ca, "entry-2", Role::Entry, -1));
+    assert!(send_request(&client, server.local_addr(), "entry-2", relay_request()).is_err());
+    assert!(send_request(&server, client.local_addr(), "entry-1", relay_request()).is_err());
 }
 
 #[test]
-fn wrong_role_is_refused() {
-    // An endpoint host is broken into. With its agent's certificate the intruder asks an entry to
-    // write to the platform, and gets nothing but a refusal.
+fn request_of_wrong_role_is_rejected() {
+    // An attacker with an agent's certificate sends platform calls to an entry, which must reject
+    // them.
     let ca = DevelopmentCa::generate().unwrap();
-    let server = transport(&material(&ca, "entry-1", Role::Entry, 1));
-    let agent = transport(&material(&ca, "agent-1", Role::Agent, 1));
-    assert!(refused(ask(&agent, server.local_addr(), "agent-1", relay())));
-    let tool = transport(&material(&ca, "desk", Role::Ctl, 1));
-    assert!(refused(ask(&tool, server.local_addr(), "desk", relay())));
+    let server = start_transport(&material(&ca, "entry-1", Role::Entry, 1));
+    let agent = start_transport(&material(&ca, "agent-1", Role::Agent, 1));
+    assert!(is_wrong_role(send_request(&agent, server.local_addr(), "agent-1", relay_request())));
+    let tool = start_transport(&material(&ca, "desk", Role::Ctl, 1));
+    assert!(is_wrong_role(send_request(&tool, server.local_addr(), "desk", relay_request())));
     let probe = RequestBody::Members(MembersRequest::Probe);
-    assert!(!refused(ask(&agent, server.local_addr(), "agent-1", probe)));
+    assert!(!is_wrong_role(send_request(&agent, server.local_addr(), "agent-1", probe)));
 }
 
 #[test]
-fn name_of_another_host_is_refused() {
-    // The intruder claims to be another host, to have its membership or its requests taken over.
+fn request_with_other_host_name_is_rejected() {
+    // An attacker sends the name of another host to take over its membership or its requests.
     let ca = DevelopmentCa::generate().unwrap();
-    let server = transport(&material(&ca, "entry-1", Role::Entry, 1));
-    let client = transport(&material(&ca, "entry-2", Role::Entry, 1));
-    assert!(refused(ask(&client, server.local_addr(), "entry-3", relay())));
+    let server = start_transport(&material(&ca, "entry-1", Role::Entry, 1));
+    let client = start_transport(&material(&ca, "entry-2", Role::Entry, 1));
+    assert!(is_wrong_role(send_request(&client, server.local_addr(), "entry-3", relay_request())));
 }
 
 #[test]
-fn answer_of_wrong_role_is_not_taken() {
-    // The intruder on an endpoint host has its address passed off as an entry's. If an entry took its
-    // word for the platform's, it would believe that a booking was never claimed, and run it again.
+fn reply_of_wrong_role_is_rejected() {
+    // An attacker on an endpoint host has its address gossiped as that of an entry. If an entry
+    // accepted its reply in place of the platform's, a claimed booking would appear unclaimed and run
+    // again.
     let ca = DevelopmentCa::generate().unwrap();
-    let entry = transport(&material(&ca, "entry-1", Role::Entry, 1));
-    let agent = transport(&material(&ca, "agent-1", Role::Agent, 1));
-    let reply = ask(&entry, agent.local_addr(), "entry-1", relay());
+    let entry = start_transport(&material(&ca, "entry-1", Role::Entry, 1));
+    let agent = start_transport(&material(&ca, "agent-1", Role::Agent, 1));
+    let reply = send_request(&entry, agent.local_addr(), "entry-1", relay_request());
     assert_eq!(reply, Err(Code::WrongRole));
 }
