--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -52,7 +52,7 @@
 use crate::http_store::HttpStore;
 use crate::operator;
 use crate::operator::Operated;
-use crate::operator::WholeBody;
+use crate::operator::SizedBody;
 use crate::origin::Origin;
 use crate::platform_watch;
 use crate::settings::AgentSettings;
@@ -440,9 +440,9 @@
         })
     }
 
-    fn weights(&self, manifest: Digest) -> Option<WholeBody> {
+    fn weights(&self, manifest: Digest) -> Option<SizedBody> {
         let reader = self.store.reader(manifest)?;
-        Some(WholeBody { len: reader.len(), reader: Box::new(reader) })
+        Some(SizedBody { len: reader.len(), reader: Box::new(reader) })
     }
 
     fn send_gauges(&self) {
--- a/node/src/agent/engine_watch.rs
+++ b/node/src/agent/engine_watch.rs
@@ -230,7 +230,7 @@
                 return false;
             };
             let probe = shared.ask(RequestBody::Members(MembersRequest::Probe));
-            let reply = shared.transport.ask_one(address, &probe, PROBE_TIMEOUT);
+            let reply = shared.transport.call_unary(address, &probe, PROBE_TIMEOUT);
             matches!(
                 reply.map(|reply| reply.body),
                 Ok(ReplyBody::Members(MembersReply::Member(member)))
--- a/node/tests/requests/connection_loss.rs
+++ b/node/tests/requests/connection_loss.rs
@@ -58,22 +58,22 @@
 // idle timeout of the connection, and the next request must succeed. The timeouts are loose for
 // busy machines.
 #[test]
-fn ask_one_on_silent_connection() {
+fn call_unary_on_silent_connection() {
     let link = connect(Duration::ZERO);
-    assert!(link.client.ask_one(link.proxy.address(), &link.request, ASK_TIMEOUT).is_ok());
+    assert!(link.client.call_unary(link.proxy.address(), &link.request, ASK_TIMEOUT).is_ok());
     link.proxy.blackhole_connections();
     let sent_at = Instant::now();
-    let lost = link.client.ask_one(link.proxy.address(), &link.request, ASK_TIMEOUT);
+    let lost = link.client.call_unary(link.proxy.address(), &link.request, ASK_TIMEOUT);
     println!("failed after {:?}", sent_at.elapsed());
     assert_eq!(lost.unwrap_err(), Code::PeerLost);
-    assert!(link.client.ask_one(link.proxy.address(), &link.request, ASK_TIMEOUT).is_ok());
+    assert!(link.client.call_unary(link.proxy.address(), &link.request, ASK_TIMEOUT).is_ok());
 }
 
 // A slow peer must not be treated as a lost connection, because a retry would run the request
 // twice.
 #[test]
-fn ask_one_to_slow_peer() {
+fn call_unary_to_slow_peer() {
     let link = connect(Duration::from_secs(4));
     let address = link.proxy.address();
-    assert!(link.client.ask_one(address, &link.request, ASK_TIMEOUT).is_ok());
+    assert!(link.client.call_unary(address, &link.request, ASK_TIMEOUT).is_ok());
 }
