--- a/bench/src/faults.rs
+++ b/bench/src/faults.rs
@@ -9,8 +9,8 @@
 
 use mastichaven_proof::Event;
 use mastichaven_proof::History;
+use mastichaven_proof::Observation;
 use mastichaven_proof::Promise;
-use mastichaven_proof::Seen;
 use mastichaven_proof::Step;
 use mastichaven_proof::check_all;
 use rand::SeedableRng;
@@ -97,7 +97,7 @@
         }
         report.seconds.insert(format!("{pair:?} {seed}"), started.elapsed().as_secs_f64());
     }
-    let history = world.recorder.finish();
+    let history = world.recorder.snapshot();
     report.judge(&history);
     Ok(Run { report, history })
 }
@@ -111,12 +111,12 @@
         for verdict in check_all(history) {
             let promise = format!("{:?}", verdict.promise);
             *self.examined.entry(promise.clone()).or_default() += verdict.examined;
-            for breach in verdict.breaches {
-                let round = round_at(history, breach.sequence);
+            for violation in verdict.violations {
+                let round = round_at(history, violation.sequence);
                 let promise = promise.clone();
-                let trace = breach.trace(history).into_iter();
+                let trace = violation.trace(history).into_iter();
                 let trace = trace.map(|event| format!("{event:?}")).collect();
-                self.found.push(Found { promise, round, detail: breach.detail, trace });
+                self.found.push(Found { promise, round, detail: violation.detail, trace });
             }
         }
     }
@@ -126,7 +126,7 @@
 fn round_at(history: &History, sequence: u64) -> String {
     let before = history.events().iter().take_while(|event| event.sequence <= sequence);
     let marks = before.filter_map(|event| match &event.step {
-        Step::Seen(Seen::Injected(text)) => Some(text.to_string()),
+        Step::Seen(Observation::Injected(text)) => Some(text.to_string()),
         _ => None,
     });
     marks.last().unwrap_or_default()
--- a/bench/src/faults/round.rs
+++ b/bench/src/faults/round.rs
@@ -12,10 +12,10 @@
 use mastichaven_core::ids::HostName;
 use mastichaven_node::agent::Agent;
 use mastichaven_node::entry::Entry;
+use mastichaven_proof::Observation;
 use mastichaven_proof::Op;
 use mastichaven_proof::Process;
 use mastichaven_proof::Return;
-use mastichaven_proof::Seen;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -77,7 +77,7 @@
 /// Runs a round; an error says that the fleet did not become whole again.
 pub fn run(world: &mut World, pair: Pair, seed: u64) -> Result<()> {
     let mark = |world: &World, text: String| {
-        world.recorder.seen(Process::Operator(0), Seen::Injected(text.into()));
+        world.recorder.record_observation(Process::Operator(0), Observation::Injected(text.into()));
     };
     mark(world, format!("{pair:?} seed {seed}"));
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -112,8 +112,8 @@
         thread::spawn(move || work(&caller, seed, &done))
     }
 
-    fn seen(&self, host: &str, seen: Seen) {
-        self.world.recorder.seen(Process::Host(host.into()), seen);
+    fn seen(&self, host: &str, seen: Observation) {
+        self.world.recorder.record_observation(Process::Host(host.into()), seen);
     }
 
     fn some_host(&mut self, prefix: &str) -> HostName {
@@ -160,7 +160,7 @@
     /// The events of an endpoint whose host or way fails.
     fn lose(&self, host: &HostName) {
         let booking = host.as_str().starts_with("agent-booking");
-        self.seen(if booking { PLAIN } else { host.as_str() }, Seen::Lost);
+        self.seen(if booking { PLAIN } else { host.as_str() }, Observation::Lost);
     }
 
     fn break_processes(&mut self, active: &Active) {
@@ -182,7 +182,7 @@
             Fault::AgentStops | Fault::EntryStops => self.stop(host),
             Fault::EngineCrashes => self.world.fleet.engines[host].crash(),
             Fault::EngineCold => {
-                self.seen(host.as_str(), Seen::TurnedCold);
+                self.seen(host.as_str(), Observation::TurnedCold);
                 self.world.fleet.engines[host].turn_cold();
             }
             Fault::ServiceCrashes => {
@@ -267,7 +267,7 @@
         }
         let unreached: Vec<&str> = self.unreached.iter().copied().collect();
         if self.world.wait_settled(&unreached).is_some() {
-            self.seen(PLAIN, Seen::ZoneClosed(zone.into()));
+            self.seen(PLAIN, Observation::ZoneClosed(zone.into()));
             self.call_all();
         }
     }
@@ -316,7 +316,7 @@
             return;
         }
         self.world.forget(host);
-        self.world.recorder.invoke(Process::Operator(0), Op::Stop(host.clone()));
+        self.world.recorder.record_invocation(Process::Operator(0), Op::Stop(host.clone()));
         let fleet = &mut self.world.fleet;
         fleet.unlist(host, true);
         let (entry, agent) = (fleet.entries.remove(host), fleet.agents.remove(host));
@@ -333,10 +333,10 @@
             });
             let closed = || operators.is_none_or(|operators| !is_ready(operators));
             if wait_until(PROGRESS_LIMIT, closed).is_some() {
-                self.seen(host.as_str(), Seen::HostClosed(host.clone()));
+                self.seen(host.as_str(), Observation::HostClosed(host.clone()));
             }
         });
-        self.world.recorder.ret(Process::Operator(0), Return::Stopped(host.clone()));
+        self.world.recorder.record_return(Process::Operator(0), Return::Stopped(host.clone()));
         self.call_all();
     }
 
@@ -375,7 +375,7 @@
             }
             Fault::ZoneOut => {
                 let reopen = Op::Reopen(active.zone.into());
-                self.world.recorder.invoke(Process::Operator(0), reopen);
+                self.world.recorder.record_invocation(Process::Operator(0), reopen);
                 self.world.set_zone(active.zone, ZoneState::In);
             }
             _ => {}
--- a/bench/src/faults/world.rs
+++ b/bench/src/faults/world.rs
@@ -22,12 +22,12 @@
 use mastichaven_node::publish;
 use mastichaven_node::publish::PublishError;
 use mastichaven_proof::CallId;
+use mastichaven_proof::Observation;
 use mastichaven_proof::Op;
 use mastichaven_proof::Process;
 use mastichaven_proof::Recorder;
 use mastichaven_proof::Request;
 use mastichaven_proof::Return;
-use mastichaven_proof::Seen;
 use mastichaven_standins::Observer;
 use mastichaven_standins::origin::random_weights;
 use serde_json::Value;
@@ -137,8 +137,8 @@
         let versions = [1, 2].map(|seed| {
             let weights = random_weights(seed, MODEL_LEN);
             let version = fleet.origin.put(&weights, CHUNK_LEN).digest();
-            let seen = Seen::Defined { version, weights: Digest::of(&weights) };
-            recorder.seen(Process::Operator(0), seen);
+            let seen = Observation::Defined { version, weights: Digest::of(&weights) };
+            recorder.record_observation(Process::Operator(0), seen);
             version
         });
         for (host, engine) in &fleet.engines {
@@ -175,7 +175,7 @@
         for (host, address) in &operators {
             if watched.operators.get(host) != Some(address) {
                 watched.in_force.remove(host);
-                self.recorder.seen(Process::Host(host.clone()), Seen::Started);
+                self.recorder.record_observation(Process::Host(host.clone()), Observation::Started);
             }
         }
         watched.operators = operators;
@@ -204,7 +204,10 @@
                     if let (true, Some(generation)) = (same, generation) {
                         let before = watched.in_force.insert(host.clone(), generation);
                         if before != Some(generation) {
-                            recorder.seen(Process::Host(host), Seen::InForce(generation));
+                            recorder.record_observation(
+                                Process::Host(host),
+                                Observation::InForce(generation),
+                            );
                         }
                     }
                 }
@@ -233,7 +236,7 @@
         let store = HttpStore::new(self.fleet.platform.base());
         let operator = Process::Operator(0);
         let accepted = || {
-            self.recorder.invoke(operator.clone(), Op::ReadAccepted);
+            self.recorder.record_invocation(operator.clone(), Op::ReadAccepted);
             let (_, head) = accepted_config::read_head(&store).ok()??;
             Some(head.generation)
         };
@@ -243,7 +246,7 @@
             wanted.is_some()
         })?;
         let wanted = wanted?;
-        self.recorder.ret(operator, Return::Held(wanted));
+        self.recorder.record_return(operator, Return::Held(wanted));
         wait_until(PATIENCE, || {
             let watched = lock(&self.watched);
             watched.operators.keys().all(|host| {
@@ -251,7 +254,7 @@
                 holds || self.fleet.zone_of(host).is_some_and(|zone| unreached.contains(&zone))
             })
         })?;
-        self.recorder.seen(Process::Operator(0), Seen::Settled(wanted));
+        self.recorder.record_observation(Process::Operator(0), Observation::Settled(wanted));
         Some(())
     }
 
@@ -337,13 +340,13 @@
                 Kind::Booking => None,
             },
         };
-        self.recorder.invoke(self.process.clone(), Op::Request(request));
+        self.recorder.record_invocation(self.process.clone(), Op::Request(request));
         let answer = client.send(address, kind, &work);
         let outcome = match &answer {
             mastichaven_proof::Answer::Final { outcome, .. } => Some(*outcome),
             _ => None,
         };
-        self.recorder.ret(self.process.clone(), Return::Answer { call, answer });
+        self.recorder.record_return(self.process.clone(), Return::Answer { call, answer });
         outcome
     }
 }
@@ -358,18 +361,18 @@
     let text = toml::to_string(config).expect("a configuration always encodes");
     let content = Digest::of(text.as_bytes());
     let process = Process::Operator(operator);
-    recorder.invoke(process.clone(), Op::Publish(content));
+    recorder.record_invocation(process.clone(), Op::Publish(content));
     match publish::publish_config(&HttpStore::new(platform), config) {
         Ok(generation) => {
-            recorder.ret(process, Return::Accepted { content, generation });
+            recorder.record_return(process, Return::Accepted { content, generation });
             Some(generation)
         }
         Err(PublishError::Conflict(_)) => {
-            recorder.ret(process, Return::Refused(content));
+            recorder.record_return(process, Return::Refused(content));
             None
         }
         Err(_) => {
-            recorder.ret(process, Return::Unknown(content));
+            recorder.record_return(process, Return::Unknown(content));
             None
         }
     }
@@ -381,15 +384,16 @@
         let seen = match seen {
             AtEndpoint::Began { work, start, running, bears } => {
                 let (work, zone) = (work.into(), zone.into());
-                Seen::Began { work, zone, start, running, bears }
-            }
-            AtEndpoint::Ended { work, whole } => Seen::Ended { work: work.into(), whole },
-            AtEndpoint::Lost => Seen::Lost,
-            AtEndpoint::Loaded { version, weights } => {
-                Seen::Loaded { version: Digest::from_hex(&version).unwrap_or_default(), weights }
+                Observation::Began { work, zone, start, running, bears }
             }
+            AtEndpoint::Ended { work, whole } => Observation::Ended { work: work.into(), whole },
+            AtEndpoint::Lost => Observation::Lost,
+            AtEndpoint::Loaded { version, weights } => Observation::Loaded {
+                version: Digest::from_hex(&version).unwrap_or_default(),
+                weights,
+            },
         };
-        recorder.seen(Process::Host(host.clone()), seen);
+        recorder.record_observation(Process::Host(host.clone()), seen);
     })
 }
 
--- a/bench/tests/proof/outcomes.rs
+++ b/bench/tests/proof/outcomes.rs
@@ -17,7 +17,7 @@
     for n in 0..4 {
         outcomes.push(world.call(Kind::Lookup(2), n, Some("poison")));
     }
-    let verdict = check(Promise::NotRunIsTrue, &world.recorder.finish());
-    assert_eq!(verdict.breaches, []);
+    let verdict = check(Promise::NotRunIsTrue, &world.recorder.snapshot());
+    assert_eq!(verdict.violations, []);
     assert_ne!(outcomes[0], Some(Outcome::NotRun));
 }
--- a/proof/src/answers.rs
+++ b/proof/src/answers.rs
@@ -1,4 +1,4 @@
-//! Checks what callers were told against what endpoints did.
+//! Checks the answers that callers received against the runs at endpoints.
 
 use mastichaven_core::Outcome;
 use todc_utils::Action;
@@ -6,28 +6,29 @@
 use crate::history::Answer;
 use crate::history::Call;
 use crate::history::History;
-use crate::linear::BookingOp;
-use crate::linear::BookingRegister;
-use crate::linear::is_linearizable;
+use crate::linearizability::BookingOp;
+use crate::linearizability::BookingRegister;
+use crate::linearizability::is_linearizable;
 use crate::promise::Promise;
 use crate::promise::Verdict;
 
-/// Every call returns, and an answer that says `ran` is whole and the caller's own.
-pub(crate) fn check_whole(history: &History) -> Verdict {
+/// Checks that every call returns, and that an answer with code `Ok` is complete and belongs to the
+/// caller's own request.
+pub(crate) fn check_whole_answers(history: &History) -> Verdict {
     let mut verdict = Verdict::new(Promise::WholeAnswers);
     for call in history.calls().values() {
-        let (at, fault) = match call.returned {
+        let (at, defect) = match call.returned {
             None => (call.invoked, Some("has no answer")),
-            Some((at, answer)) => (at, fault_of(call, answer)),
+            Some((at, answer)) => (at, answer_defect(call, answer)),
         };
-        verdict.examine(at, fault.is_none(), || {
-            format!("{:?} {}", call.request.call, fault.unwrap_or_default())
+        verdict.examine(at, defect.is_none(), || {
+            format!("{:?} {}", call.request.call, defect.unwrap_or_default())
         });
     }
     verdict
 }
 
-fn fault_of(call: &Call<'_>, answer: &Answer) -> Option<&'static str> {
+fn answer_defect(call: &Call<'_>, answer: &Answer) -> Option<&'static str> {
     let Answer::Final { outcome: Outcome::Ran, about, parts, code, .. } = answer else {
         return None;
     };
@@ -38,41 +39,42 @@
         return Some("was answered with the result of another request");
     }
     match call.request.parts {
-        Some(wanted) if !parts.iter().copied().eq(0..wanted) => {
-            Some("got parts with a gap, a repetition or an early end")
+        Some(expected) if !parts.iter().copied().eq(0..expected) => {
+            Some("received parts with a gap, a repetition or an early end")
         }
         _ => None,
     }
 }
 
-/// Whatever began can be put down to a call that was not told `not-run`.
+/// Checks that each run can be attributed to an earlier call that may have run.
 ///
-/// `not-run` speaks of one call: a resend that is told so says nothing of an earlier call under
-/// the same key.
+/// `not-run` applies to one call: if a resend is answered `not-run`, an earlier call under the same
+/// key may still have run.
 pub(crate) fn check_not_run(history: &History) -> Verdict {
     let mut verdict = Verdict::new(Promise::NotRunIsTrue);
-    let began = history.began_by_work();
+    let began = history.began_events_by_work();
     for (work, calls) in history.calls_by_work() {
-        let told = calls.iter().filter(|call| call.is_told_not_run()).count();
-        if told == 0 {
+        let not_run = calls.iter().filter(|call| call.is_confirmed_not_run()).count();
+        if not_run == 0 {
             continue;
         }
         let began = began.get(work).map_or(&[][..], Vec::as_slice);
-        let cause =
-            |at: &u64| calls.iter().any(|call| !call.is_told_not_run() && call.invoked < *at);
-        let causeless = began.iter().find(|at| !cause(at));
-        let at = causeless.copied().unwrap_or_default();
-        verdict.examine(at, causeless.is_none(), || {
-            format!("{work} began, yet its {told} calls were told that it did not run")
+        let has_cause =
+            |at: &u64| calls.iter().any(|call| !call.is_confirmed_not_run() && call.invoked < *at);
+        let unexplained = began.iter().find(|at| !has_cause(at));
+        let at = unexplained.copied().unwrap_or_default();
+        verdict.examine(at, unexplained.is_none(), || {
+            format!("{work} began without a call that may have run it; {not_run} calls did not run")
         });
     }
     verdict
 }
 
-/// No non-idempotent work begins twice, and all its callers see the result of the one run.
+/// Checks that no non-idempotent request begins twice, and that all its calls return the result of
+/// that one run.
 pub(crate) fn check_at_most_once(history: &History) -> Verdict {
     let mut verdict = Verdict::new(Promise::AtMostOnce);
-    let began = history.began_by_work();
+    let began = history.began_events_by_work();
     for (work, calls) in history.calls_by_work() {
         if calls.iter().any(|call| call.request.idempotent) {
             continue;
@@ -80,17 +82,18 @@
         let began = began.get(work).map_or(&[][..], Vec::as_slice);
         let at = began.last().copied().unwrap_or_default();
         verdict.examine(at, began.len() <= 1, || format!("{work} began {} times", began.len()));
-        let one_result = is_linearizable::<BookingRegister>(actions(&calls));
-        verdict.examine(at, one_result, || format!("callers of {work} got different results"));
+        let same_result = is_linearizable::<BookingRegister>(booking_actions(&calls));
+        verdict.examine(at, same_result, || format!("calls of {work} returned different results"));
     }
     verdict
 }
 
-/// The calls of one work as a history of a register that is written at most once. Calls without a
-/// known outcome are left out: they may or may not have taken effect, and the weaker order that is
-/// promised for them is that they take effect at most once, which the count of runs checks.
-fn actions(calls: &[Call<'_>]) -> Vec<(usize, Action<BookingOp>)> {
-    let mut ends = Vec::new();
+/// Converts the calls of one `work` to a history of [`BookingRegister`].
+///
+/// Calls without a known outcome are left out because they may or may not have taken effect. They
+/// are only promised to take effect at most once, which the number of runs shows.
+fn booking_actions(calls: &[Call<'_>]) -> Vec<(usize, Action<BookingOp>)> {
+    let mut actions = Vec::new();
     for (process, call) in calls.iter().enumerate() {
         let Some((at, Answer::Final { outcome, result, .. })) = call.returned else {
             continue;
@@ -100,9 +103,9 @@
             (Outcome::NotRun, _) => BookingOp::NotRun,
             _ => continue,
         };
-        ends.push((call.invoked, process, Action::Call(op)));
-        ends.push((at, process, Action::Response(op)));
+        actions.push((call.invoked, process, Action::Call(op)));
+        actions.push((at, process, Action::Response(op)));
     }
-    ends.sort_by_key(|(at, ..)| *at);
-    ends.into_iter().map(|(_, process, action)| (process, action)).collect()
+    actions.sort_by_key(|(at, ..)| *at);
+    actions.into_iter().map(|(_, process, action)| (process, action)).collect()
 }
--- a/proof/src/history.rs
+++ b/proof/src/history.rs
@@ -1,7 +1,7 @@
-//! What happened in a run, as one numbered sequence of typed events.
+//! The history of a run: a numbered sequence of typed events.
 //!
-//! A process records the invocation of an operation before it starts it and the return after it
-//! has ended, so that the numbers respect real time: if one operation returned before another was
+//! A process records an invocation before the operation starts and a return after it has ended.
+//! The sequence numbers therefore respect real time: if one operation returned before another was
 //! invoked, its numbers are lower.
 
 use std::collections::BTreeMap;
@@ -18,164 +18,164 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// Who an event happened at.
+/// The process that an event happened at.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Process {
-    /// A caller thread.
+    /// A caller thread, by its number.
     Caller(u32),
-    /// An operator or the thread that plays one.
+    /// An operator, or the thread that acts as one, by its number.
     Operator(u32),
-    /// An entry, an agent, or the endpoint on that host.
+    /// The entry, agent or endpoint on that host.
     Host(HostName),
 }
 
-/// Names one HTTP call of a caller; a resend is another call.
+/// Identifies one HTTP call of a caller; a resend is another call.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct CallId(pub u64);
 
-/// What a caller sends.
+/// A request as a caller sends it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Request {
-    /// The call.
+    /// The call that sends it.
     pub call: CallId,
-    /// What it asks for. Resends carry the same name, all other requests one of their own; the
-    /// body holds it, so that the endpoint's events name it too.
+    /// Identifier of the logical request: resends share it, all other requests differ. The body
+    /// carries it, so that the endpoint's events contain it too.
     pub work: SmolStr,
-    /// What a whole answer says it is about.
+    /// The subject that a whole answer must name.
     pub about: SmolStr,
-    /// The entry it is sent to.
+    /// Host of the entry it is sent to.
     pub entry: HostName,
-    /// Whether running it twice does no harm.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Parts that a whole answer has; `None` when the service answers in one piece.
+    /// Number of parts in a whole answer; `None` if the service does not stream.
     pub parts: Option<u32>,
 }
 
-/// What a caller got.
+/// The answer that a caller received.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Answer {
-    /// No connection could be made: no byte of the request left the caller.
+    /// The connection could not be opened: no byte of the request was sent.
     NotTaken,
-    /// A final answer with its outcome.
+    /// A complete HTTP response with its outcome.
     Final {
-        /// What the answer says of the request.
+        /// Whether the request ran, according to the answer.
         outcome: Outcome,
-        /// The numbered code.
+        /// Number of the [`Code`](mastichaven_core::Code).
         code: u16,
-        /// What the body says it is about; `None` when it holds nobody's result.
+        /// The subject named in the body; `None` if the body holds no result.
         about: Option<SmolStr>,
-        /// Numbers of the body's parts, in the order in which they came.
+        /// Numbers of the body's parts, in the order of arrival.
         parts: Vec<u32>,
-        /// Every version that a part names.
+        /// The distinct versions that the parts name.
         versions: Vec<Digest>,
-        /// What a run of a non-idempotent request returned, such as its booking number.
+        /// Result of a non-idempotent request, such as its booking number.
         result: Option<u64>,
     },
-    /// The connection ended, or fell silent, before the answer was whole.
+    /// The connection ended or timed out before the answer was complete.
     Cut {
-        /// Whether the answer had begun.
+        /// Whether part of the answer had arrived.
         answering: bool,
     },
 }
 
-/// An operation as it is invoked.
+/// The invocation of an operation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Op {
     /// A caller sends a request.
     Request(Request),
     /// An operator publishes a configuration with this content.
     Publish(Digest),
-    /// Somebody reads the accepted generation on the platform.
+    /// A process reads the accepted generation from the platform.
     ReadAccepted,
     /// A planned stop of the process on a host.
     Stop(HostName),
-    /// Operators begin to bring a zone back.
+    /// An operator starts to bring a zone back into service.
     Reopen(ZoneName),
 }
 
-/// How an operation returned.
+/// The return of an operation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Return {
     /// Return of [`Op::Request`].
     Answer {
-        /// The call.
+        /// The call that returned.
         call: CallId,
-        /// What it got.
+        /// The answer it received.
         answer: Answer,
     },
-    /// Return of [`Op::Publish`]: accepted under this generation.
+    /// Return of [`Op::Publish`]: the configuration was accepted.
     Accepted {
-        /// What was published.
+        /// Digest of the published configuration.
         content: Digest,
-        /// Its generation.
+        /// The generation it was accepted as.
         generation: Generation,
     },
-    /// Return of [`Op::Publish`]: refused, nothing changed.
+    /// Return of [`Op::Publish`]: the content was refused and nothing changed.
     Refused(Digest),
-    /// Return of [`Op::Publish`]: it may or may not have been accepted.
+    /// Return of [`Op::Publish`]: the content may or may not have been accepted.
     Unknown(Digest),
-    /// Return of [`Op::ReadAccepted`].
+    /// Return of [`Op::ReadAccepted`]: the accepted generation.
     Held(Generation),
-    /// Return of [`Op::Stop`]: the process has ended.
+    /// Return of [`Op::Stop`]: the process on this host has ended.
     Stopped(HostName),
 }
 
-/// What was observed at one moment.
+/// A state change that was observed at one moment.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Seen {
-    /// The weights that a version stands for, known before the run.
+pub enum Observation {
+    /// The weights that belong to a version; recorded before the run.
     Defined {
         /// Digest of the manifest.
         version: Digest,
-        /// Digest of the whole weights.
+        /// Digest of the complete weights.
         weights: Digest,
     },
-    /// An engine loaded what it was ordered to.
+    /// An engine executed a load order.
     Loaded {
-        /// The version it was told.
+        /// The version in the order.
         version: Digest,
-        /// Digest of the bytes it read.
+        /// Digest of the bytes that the engine read.
         weights: Digest,
     },
-    /// An endpoint took up a request.
+    /// An endpoint started to run a request.
     Began {
-        /// The work that the body names.
+        /// [`Request::work`], as read from the body.
         work: SmolStr,
         /// The endpoint's zone.
         zone: ZoneName,
-        /// The endpoint's life.
+        /// The start of the endpoint process that runs it.
         start: StartId,
-        /// Requests at the endpoint, this one included.
+        /// Requests running at the endpoint, including this one.
         running: u32,
-        /// Requests it bears at this moment.
+        /// The endpoint's current capacity, in requests.
         bears: u32,
     },
-    /// An endpoint finished a request.
+    /// An endpoint stopped running a request.
     Ended {
-        /// The work that the body names.
+        /// [`Request::work`], as read from the body.
         work: SmolStr,
-        /// Whether all of the answer was written.
+        /// Whether the complete answer was written.
         whole: bool,
     },
-    /// The endpoint of a host ended unasked, was cut off, or its host died.
+    /// The endpoint on this host crashed, was partitioned, or its host failed.
     Lost,
-    /// The endpoint turned cold unasked: nobody can know before it is given work.
+    /// The endpoint turned cold by itself, which cannot be detected before it gets a request.
     TurnedCold,
-    /// A fault was brought about, or mended; for people who read the history.
+    /// A fault was injected or repaired, as text for readers of the history.
     Injected(SmolStr),
-    /// A process started anew and knows nothing yet.
+    /// A process started with empty state.
     Started,
-    /// A process holds this configuration in force.
+    /// This generation is in force in the process.
     InForce(Generation),
-    /// Every live process that can be reached was seen to hold this generation or a later one.
+    /// This generation or a later one is in force in every live process that can be reached.
     Settled(Generation),
-    /// A settled configuration has this zone out.
+    /// A settled configuration takes this zone out of service.
     ZoneClosed(ZoneName),
-    /// A host that is leaving was seen not to be ready any more.
+    /// A leaving host no longer reports itself ready.
     HostClosed(HostName),
 }
 
-/// An invocation, a return or an observation.
+/// The content of an event: an invocation, a return or an observation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Step {
     /// An operation begins.
@@ -183,26 +183,28 @@
     /// An operation ends.
     Return(Return),
     /// Something was observed.
-    Seen(Seen),
+    Seen(Observation),
 }
 
-/// One event.
+/// One entry of a [`History`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Event {
-    /// Its place in the history, from 0.
+    /// Position in the history, counted from 0.
     pub sequence: u64,
-    /// Where it happened.
+    /// The process it happened at.
     pub process: Process,
-    /// What happened.
+    /// The invocation, return or observation.
     pub step: Step,
 }
 
 impl Event {
-    /// The work that this event is about; an answer is about that of its call.
+    /// The `work` of the request that this event concerns; for an answer, that of its call.
     pub(crate) fn work(&self, events: &[Event]) -> Option<SmolStr> {
         match &self.step {
             Step::Invoke(Op::Request(request)) => Some(request.work.clone()),
-            Step::Seen(Seen::Began { work, .. } | Seen::Ended { work, .. }) => Some(work.clone()),
+            Step::Seen(Observation::Began { work, .. } | Observation::Ended { work, .. }) => {
+                Some(work.clone())
+            }
             Step::Return(Return::Answer { call, .. }) => {
                 events.iter().find_map(|event| match &event.step {
                     Step::Invoke(Op::Request(request)) if request.call == *call => {
@@ -216,30 +218,30 @@
     }
 }
 
-/// Takes events from any thread and numbers them.
+/// Collects events from any thread and numbers them.
 #[derive(Clone, Debug, Default)]
 pub struct Recorder {
     events: Arc<Mutex<Vec<Event>>>,
 }
 
 impl Recorder {
-    /// Records that `process` begins an operation.
-    pub fn invoke(&self, process: Process, op: Op) {
+    /// Records that `process` is about to start an operation.
+    pub fn record_invocation(&self, process: Process, op: Op) {
         self.push(process, Step::Invoke(op));
     }
 
     /// Records that an operation of `process` has ended.
-    pub fn ret(&self, process: Process, ret: Return) {
+    pub fn record_return(&self, process: Process, ret: Return) {
         self.push(process, Step::Return(ret));
     }
 
     /// Records an observation.
-    pub fn seen(&self, process: Process, seen: Seen) {
-        self.push(process, Step::Seen(seen));
+    pub fn record_observation(&self, process: Process, observation: Observation) {
+        self.push(process, Step::Seen(observation));
     }
 
-    /// The history so far.
-    pub fn finish(&self) -> History {
+    /// A copy of the history recorded so far.
+    pub fn snapshot(&self) -> History {
         History { events: self.events.lock().expect("no holder of this lock panics").clone() }
     }
 
@@ -272,8 +274,8 @@
         }
     }
 
-    /// Whether the caller knows for sure that this call did not run.
-    pub(crate) fn is_told_not_run(&self) -> bool {
+    /// Whether the caller can rule out that this call ran.
+    pub(crate) fn is_confirmed_not_run(&self) -> bool {
         let not_taken = matches!(self.returned, Some((_, Answer::NotTaken)));
         not_taken || self.outcome() == Some(Outcome::NotRun)
     }
@@ -304,7 +306,7 @@
         calls
     }
 
-    /// The calls of each work, in order of their invocation.
+    /// The calls of each `work`, in order of invocation.
     pub(crate) fn calls_by_work(&self) -> BTreeMap<&str, Vec<Call<'_>>> {
         let mut works: BTreeMap<&str, Vec<Call<'_>>> = BTreeMap::new();
         for call in self.calls().into_values() {
@@ -313,11 +315,11 @@
         works
     }
 
-    /// The places at which endpoints took up each work.
-    pub(crate) fn began_by_work(&self) -> BTreeMap<&str, Vec<u64>> {
+    /// The sequence numbers of the [`Observation::Began`] events of each `work`.
+    pub(crate) fn began_events_by_work(&self) -> BTreeMap<&str, Vec<u64>> {
         let mut works: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
         for event in &self.events {
-            if let Step::Seen(Seen::Began { work, .. }) = &event.step {
+            if let Step::Seen(Observation::Began { work, .. }) = &event.step {
                 works.entry(work.as_str()).or_default().push(event.sequence);
             }
         }
--- a/proof/src/linear.rs
+++ b/proof/src/linearizability.rs
@@ -1,4 +1,4 @@
-//! Sequential specifications for the library's linearizability checker.
+//! Sequential specifications for the linearizability checker of [`todc_utils`].
 
 use mastichaven_core::ids::Generation;
 use todc_utils::Action;
@@ -8,22 +8,23 @@
 
 /// Whether `actions` can be put into one order that respects real time and the specification.
 ///
-/// An empty history is linearizable. Exponential in the operations that overlap.
+/// An empty history is linearizable. The running time is exponential in the number of overlapping
+/// operations.
 pub fn is_linearizable<S: Specification>(actions: Vec<(usize, Action<S::Operation>)>) -> bool {
     actions.is_empty() || WGLChecker::<S>::is_linearizable(History::from_actions(actions))
 }
 
-/// What a caller of a non-idempotent work was told.
+/// The outcome of a non-idempotent request, as answered to a caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BookingOp {
-    /// It ran, with this result.
+    /// The request ran and returned this result.
     Ran(u64),
-    /// It did not run.
+    /// The call did not run the request.
     NotRun,
 }
 
-/// A register that is written at most once: everybody who is told that the work ran sees the
-/// result of the one run.
+/// A register that is written at most once: every caller whose request ran gets the result of the
+/// one run.
 pub struct BookingRegister;
 
 impl Specification for BookingRegister {
@@ -38,7 +39,7 @@
         match (operation, state) {
             (BookingOp::NotRun, state) => (true, *state),
             (BookingOp::Ran(result), None) => (true, Some(*result)),
-            (BookingOp::Ran(result), Some(kept)) => (result == kept, *state),
+            (BookingOp::Ran(result), Some(stored)) => (result == stored, *state),
         }
     }
 }
@@ -46,15 +47,16 @@
 /// An operation on the platform's accepted generation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum GenerationOp {
-    /// A publisher was told that this generation is accepted.
+    /// The publish operation returned this generation as accepted.
     Write(Generation),
-    /// A reader got this generation.
+    /// The read returned this generation.
     Read(Generation),
 }
 
-/// The accepted generation: writes raise it, reads see the last write. A read of a higher
-/// generation than any known write shows a write whose answer was lost; a write of what is accepted
-/// already may keep its generation.
+/// The accepted generation: writes never lower it, and reads return the last write.
+///
+/// A read may return a higher generation than any known write, because the answer to a write can be
+/// lost. A write of the configuration that is already accepted may keep the generation.
 pub struct GenerationObject;
 
 impl Specification for GenerationObject {
--- a/proof/src/promise.rs
+++ b/proof/src/promise.rs
@@ -1,41 +1,41 @@
-//! The nine promises, and what a checker says of each.
+//! The promises to callers and operators, and the verdicts of their checkers.
 
 use crate::answers;
-use crate::closed;
+use crate::drain;
 use crate::generations;
+use crate::graceful_stop;
 use crate::history::Event;
 use crate::history::History;
-use crate::history::Seen;
+use crate::history::Observation;
 use crate::history::Step;
 use crate::load;
-use crate::stops;
 use crate::weights;
 
-/// What must always hold.
+/// A property that every history must satisfy.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Promise {
-    /// Nobody is answered from partial or mixed weights.
+    /// Every answer comes from the complete weights of one version.
     WholeWeights,
-    /// An endpoint never has more work than it can bear.
+    /// An endpoint never runs more requests than its capacity.
     BearableLoad,
-    /// A zone that is out gets no new work once that is known.
+    /// A zone taken out of service gets no new requests once the whole fleet has applied it.
     ZoneOut,
-    /// Every caller gets the whole answer to its own request.
+    /// Every call returns, with the complete answer to its own request if that succeeded.
     WholeAnswers,
-    /// What a caller is told did not run, did not run.
+    /// A call answered `not-run` did not run.
     NotRunIsTrue,
     /// A non-idempotent request runs at most once.
     AtMostOnce,
-    /// A leaving endpoint gets no new work once that is known.
+    /// A leaving host gets no new requests once it no longer reports itself ready.
     Leaving,
-    /// A planned stop cuts off no request in progress.
+    /// A planned stop cuts off no request in flight.
     GracefulStop,
-    /// An accepted configuration comes into force everywhere and never reverts.
+    /// An accepted configuration takes effect in every process and never reverts.
     Configuration,
 }
 
 impl Promise {
-    /// Every promise.
+    /// All promises, in the order in which they are checked.
     pub const ALL: [Promise; 9] = [
         Promise::WholeWeights,
         Promise::BearableLoad,
@@ -49,81 +49,80 @@
     ];
 }
 
-/// A promise that a history breaks.
+/// One violation of a promise in a history.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Breach {
-    /// The event that breaks it.
+pub struct Violation {
+    /// Sequence number of the event that violates the promise.
     pub sequence: u64,
-    /// What is wrong, for people.
+    /// Description of the violation, for readers of the report.
     pub detail: String,
 }
 
-impl Breach {
-    /// The events that tell how it came about: all that name the same work, and every loss of an
-    /// endpoint and every fault between them.
+impl Violation {
+    /// The events that led to the violation: all events of the same `work`, and each endpoint loss
+    /// and fault injection between the first and the last of them.
     pub fn trace<'a>(&self, history: &'a History) -> Vec<&'a Event> {
         let events = history.events();
-        let named = |event: &&Event| event.sequence == self.sequence;
-        let work = events.iter().find(named).and_then(|event| event.work(events));
+        let is_violating = |event: &&Event| event.sequence == self.sequence;
+        let work = events.iter().find(is_violating).and_then(|event| event.work(events));
         let Some(work) = work else {
-            return events.iter().filter(named).collect();
+            return events.iter().filter(is_violating).collect();
         };
-        let about: Vec<u64> = events
+        let related: Vec<u64> = events
             .iter()
             .filter(|event| event.work(events).as_ref() == Some(&work))
             .map(|event| event.sequence)
             .collect();
-        let (first, last) = (about[0], about[about.len() - 1]);
-        let between = |event: &Event| {
+        let (first, last) = (related[0], related[related.len() - 1]);
+        let is_fault_between = |event: &Event| {
             (first..=last).contains(&event.sequence)
-                && matches!(event.step, Step::Seen(Seen::Lost | Seen::Injected(_)))
+                && matches!(event.step, Step::Seen(Observation::Lost | Observation::Injected(_)))
         };
-        events.iter().filter(|e| about.contains(&e.sequence) || between(e)).collect()
+        events.iter().filter(|e| related.contains(&e.sequence) || is_fault_between(e)).collect()
     }
 }
 
-/// What a checker says of a history.
+/// The result of checking one promise against a history.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Verdict {
-    /// What was checked.
+    /// The promise that was checked.
     pub promise: Promise,
-    /// Events that could have broken it. A verdict over none proves nothing, so tests of runs ask
-    /// for some.
+    /// Number of checks made. A verdict of 0 checks proves nothing, so tests of runs require some.
     pub examined: usize,
-    /// Those that did.
-    pub breaches: Vec<Breach>,
+    /// The checks that failed, in the order in which the checker made them.
+    pub violations: Vec<Violation>,
 }
 
 impl Verdict {
     pub(crate) fn new(promise: Promise) -> Verdict {
-        Verdict { promise, examined: 0, breaches: Vec::new() }
+        Verdict { promise, examined: 0, violations: Vec::new() }
     }
 
-    /// Counts one examined event, and a breach if `holds` is false.
+    /// Counts one check, and adds a violation at event `sequence` if `holds` is false.
     pub(crate) fn examine(&mut self, sequence: u64, holds: bool, detail: impl FnOnce() -> String) {
         self.examined += 1;
         if !holds {
-            self.breaches.push(Breach { sequence, detail: detail() });
+            self.violations.push(Violation { sequence, detail: detail() });
         }
     }
 }
 
-/// Checks one promise.
+/// Checks one promise against `history`.
 pub fn check(promise: Promise, history: &History) -> Verdict {
     match promise {
         Promise::WholeWeights => weights::check(history),
         Promise::BearableLoad => load::check(history),
-        Promise::ZoneOut => closed::check_zones(history),
-        Promise::WholeAnswers => answers::check_whole(history),
+        Promise::ZoneOut => drain::check_zones(history),
+        Promise::WholeAnswers => answers::check_whole_answers(history),
         Promise::NotRunIsTrue => answers::check_not_run(history),
         Promise::AtMostOnce => answers::check_at_most_once(history),
-        Promise::Leaving => closed::check_hosts(history),
-        Promise::GracefulStop => stops::check(history),
+        Promise::Leaving => drain::check_hosts(history),
+        Promise::GracefulStop => graceful_stop::check(history),
         Promise::Configuration => generations::check(history),
     }
 }
 
-/// Checks all nine.
+/// Checks every promise against `history`, in the order of [`Promise::ALL`].
 pub fn check_all(history: &History) -> Vec<Verdict> {
     Promise::ALL.iter().map(|promise| check(*promise, history)).collect()
 }
--- a/proof/src/weights.rs
+++ b/proof/src/weights.rs
@@ -1,4 +1,4 @@
-//! Checks that answers come from whole weights of one version.
+//! Checks that each answer comes from the complete weights of one version.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,29 @@
 
 use crate::history::Answer;
 use crate::history::History;
+use crate::history::Observation;
 use crate::history::Return;
-use crate::history::Seen;
 use crate::history::Step;
 use crate::promise::Promise;
 use crate::promise::Verdict;
 
-/// An engine reads exactly the bytes its version stands for, and each answer names one version.
+/// Checks that engines load exactly the weights of the ordered version, and that each streamed answer
+/// names one defined version.
 pub(crate) fn check(history: &History) -> Verdict {
     let mut verdict = Verdict::new(Promise::WholeWeights);
     let mut defined: BTreeMap<Digest, Digest> = BTreeMap::new();
     for event in history.events() {
         match &event.step {
-            Step::Seen(Seen::Defined { version, weights }) => {
+            Step::Seen(Observation::Defined { version, weights }) => {
                 defined.insert(*version, *weights);
             }
-            Step::Seen(Seen::Loaded { version, weights }) => {
-                let whole = defined.get(version) == Some(weights);
-                verdict.examine(event.sequence, whole, || {
-                    format!("{:?} loaded other bytes than {version} stands for", event.process)
+            Step::Seen(Observation::Loaded { version, weights }) => {
+                let complete = defined.get(version) == Some(weights);
+                verdict.examine(event.sequence, complete, || {
+                    format!(
+                        "{:?} loaded bytes that differ from the weights of {version}",
+                        event.process
+                    )
                 });
             }
             Step::Return(Return::Answer { call, answer }) => {
@@ -35,8 +39,8 @@
                 if parts.is_empty() {
                     continue;
                 }
-                let one = versions.len() == 1 && defined.contains_key(&versions[0]);
-                verdict.examine(event.sequence, one, || {
+                let single_version = versions.len() == 1 && defined.contains_key(&versions[0]);
+                verdict.examine(event.sequence, single_version, || {
                     format!("{call:?} was answered from versions {versions:?}")
                 });
             }
--- a/proof/tests/checkers/main.rs
+++ b/proof/tests/checkers/main.rs
@@ -1,6 +1,6 @@
-//! Each checker must be able to fail: a sound history passes, and a history broken in one place is
-//! caught by the checker of that promise.
+//! Tests of the checkers on constructed histories: a valid history passes every checker, and a
+//! history with one violation fails the checker of that promise.
 
-mod forge;
-mod forged;
-mod linear;
+mod history_builder;
+mod linearizability;
+mod promises;
