--- a/bench/src/faults/world.rs
+++ b/bench/src/faults/world.rs
@@ -379,16 +379,16 @@
 }
 
 fn observer(recorder: Recorder, host: HostName, zone: &'static str) -> Observer {
-    use mastichaven_standins::Seen as AtEndpoint;
+    use mastichaven_standins::EndpointEvent;
     Arc::new(move |seen| {
         let seen = match seen {
-            AtEndpoint::Began { work, start, running, bears } => {
+            EndpointEvent::Began { work, start, running, capacity } => {
                 let (work, zone) = (work.into(), zone.into());
-                Observation::Began { work, zone, start, running, bears }
+                Observation::Began { work, zone, start, running, bears: capacity }
             }
-            AtEndpoint::Ended { work, whole } => Observation::Ended { work: work.into(), whole },
-            AtEndpoint::Lost => Observation::Lost,
-            AtEndpoint::Loaded { version, weights } => Observation::Loaded {
+            EndpointEvent::Ended { work, whole } => Observation::Ended { work: work.into(), whole },
+            EndpointEvent::Restarted => Observation::Lost,
+            EndpointEvent::Loaded { version, weights } => Observation::Loaded {
                 version: Digest::from_hex(&version).unwrap_or_default(),
                 weights,
             },
--- a/node/src/direct/swarm/sources.rs
+++ b/node/src/direct/swarm/sources.rs
@@ -84,7 +84,7 @@
         };
         let path = origin_paths::manifest_path(&target.model, target.version);
         match self.fetch_from_origin(&path).await {
-            Ok(body) => match origin_paths::scan_manifest(&body, target.version) {
+            Ok(body) => match origin_paths::parse_manifest(&body, target.version) {
                 Some(found) => self.receive_manifest(&target, found.chunk_len, found.digests).await,
                 None => RequestOutcome::Corrupt,
             },
