--- a/bench/src/member_net.rs
+++ b/bench/src/member_net.rs
@@ -1,4 +1,5 @@
-//! Many memberships in one thread on simulated time: the real decisions, a simulated network.
+//! Runs the membership state machine of many processes in one thread, over a simulated network and
+//! on simulated time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -31,32 +32,32 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Simulated time of one step.
+/// Simulated time that one step of [`Net::run`] advances.
 const STEP: Duration = Duration::from_millis(10);
 
-/// How often each process ticks.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval at which each process calls [`Membership::tick`].
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// After this long QUIC sends an unacknowledged packet again, at first.
+/// Delay after which QUIC first retransmits an unacknowledged packet.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Bytes of IP, UDP, QUIC header, tag and frame round one message, and of the acknowledgement
-/// that its receiver sends for it.
-const MESSAGE_OVERHEAD: u64 = 62;
+/// Bytes that the IP, UDP and QUIC headers, the authentication tag and the frame add to a message,
+/// and bytes of the acknowledgement that its receiver sends.
+const MESSAGE_OVERHEAD_BYTES: u64 = 62;
 const ACK_BYTES: u64 = 58;
 
 /// One process of a [`Net`].
 pub struct Node {
-    /// Its membership.
+    /// Membership state machine of the process.
     pub membership: Membership,
-    /// Bytes it has sent.
-    pub sent: u64,
-    /// Until when it is paused.
+    /// Bytes sent, with the overhead and the acknowledgement of each message.
+    pub sent_bytes: u64,
+    /// Until this time the process handles no event and does not tick.
     pub paused_until: Time,
-    /// Whether it runs.
-    pub up: bool,
-    /// Processes of different sides cannot reach each other.
-    pub side: u32,
+    /// False once the process was killed or has left, until it restarts.
+    pub is_running: bool,
+    /// Processes with different partition numbers cannot reach each other.
+    pub partition: u32,
     host: HostName,
     next_tick: Time,
 }
@@ -64,29 +65,29 @@
 enum Event {
     Request { from: usize, to: usize, token: u64, request: MembersRequest },
     Reply { to: usize, token: u64, reply: MembersReply },
-    Late { to: usize, token: u64 },
-    Helped { helper: usize, asker: usize, token: u64, reached: bool },
+    Timeout { to: usize, token: u64 },
+    IndirectProbeDone { helper: usize, requester: usize, token: u64, reached: bool },
 }
 
-/// Memberships joined by a simulated network.
+/// Processes connected by a simulated network.
 pub struct Net {
-    /// The processes.
+    /// Processes, by index.
     pub nodes: Vec<Node>,
-    /// The present time.
+    /// Current simulated time.
     pub now: Time,
-    /// Share of messages lost, each way.
+    /// Probability that a packet is lost, in each direction.
     pub loss: f64,
     config: GossipConfig,
     rng: ChaCha8Rng,
     events: BinaryHeap<Reverse<(Time, u64)>>,
-    bodies: HashMap<u64, Event>,
-    next_event: u64,
-    by_address: HashMap<SocketAddr, usize>,
+    pending: HashMap<u64, Event>,
+    last_event_id: u64,
+    index_by_address: HashMap<SocketAddr, usize>,
 }
 
 impl Net {
-    /// `count` processes in `zones` zones, a quarter of them entries, that all start at once and
-    /// know the first three entries' addresses.
+    /// Starts `count` processes in `zones` zones at the same time. Every fourth is an entry. The
+    /// seeds of all of them are the addresses of the first three entries.
     pub fn start(count: usize, zones: usize, seed: u64) -> Net {
         let mut net = Net {
             nodes: Vec::new(),
@@ -95,73 +96,75 @@
             config: GossipConfig::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             events: BinaryHeap::new(),
-            bodies: HashMap::new(),
-            next_event: 0,
-            by_address: HashMap::new(),
+            pending: HashMap::new(),
+            last_event_id: 0,
+            index_by_address: HashMap::new(),
         };
         for index in 0..count {
-            net.add(index, zones);
+            net.add_node(index, zones);
         }
         net
     }
 
-    fn add(&mut self, index: usize, zones: usize) {
+    fn add_node(&mut self, index: usize, zones: usize) {
         let member = member(index, zones, 1);
         let seeds = (0..3).map(|n| address(n * 4)).collect();
         let next_tick = self.now + Duration::from_millis(self.rng.random_range(0..500));
-        self.by_address.insert(member.address, index);
+        self.index_by_address.insert(member.address, index);
         self.nodes.push(Node {
             host: member.host.clone(),
             membership: Membership::new(member, seeds, self.config),
-            sent: 0,
+            sent_bytes: 0,
             paused_until: Time::ZERO,
-            up: true,
-            side: 0,
+            is_running: true,
+            partition: 0,
             next_tick,
         });
     }
 
-    /// Ends a process without a word.
+    /// Stops a process without an announcement, as in a crash.
     pub fn kill(&mut self, index: usize) {
-        self.nodes[index].up = false;
+        self.nodes[index].is_running = false;
     }
 
-    /// Ends a process that says so.
+    /// Stops a process after it has announced that it leaves.
     pub fn leave(&mut self, index: usize) {
-        let sends = self.nodes[index].membership.leave();
-        self.send_all(index, sends);
-        self.nodes[index].up = false;
+        let messages = self.nodes[index].membership.leave();
+        self.send_requests(index, messages);
+        self.nodes[index].is_running = false;
     }
 
-    /// Starts a process again, as a later life on the same host.
-    pub fn restart(&mut self, index: usize, zones: usize, life: u64) {
+    /// Restarts a process on the same host. `incarnation` is 1 at the start and has to rise with
+    /// each restart.
+    pub fn restart(&mut self, index: usize, zones: usize, incarnation: u64) {
         let seeds = (0..3).map(|n| address(n * 4)).collect();
-        let member = member(index, zones, life);
+        let member = member(index, zones, incarnation);
         let node = &mut self.nodes[index];
         node.membership = Membership::new(member, seeds, self.config);
-        node.up = true;
+        node.is_running = true;
         node.next_tick = self.now;
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time by `span`, delivering messages and ticking the processes.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + STEP;
-            self.deliver();
+            self.deliver_due_events();
             for index in 0..self.nodes.len() {
                 let node = &mut self.nodes[index];
-                if !node.up || node.paused_until > self.now || node.next_tick > self.now {
+                if !node.is_running || node.paused_until > self.now || node.next_tick > self.now {
                     continue;
                 }
-                node.next_tick = self.now + TICK;
-                let sends = node.membership.tick(self.now, &mut self.rng);
-                self.send_all(index, sends);
+                node.next_tick = self.now + TICK_INTERVAL;
+                let messages = node.membership.tick(self.now, &mut self.rng);
+                self.send_requests(index, messages);
             }
         }
     }
 
-    /// Runs until `done`, for at most `limit`; gives how long it took.
+    /// Runs until `done` holds. Returns the simulated time that took, or `None` after more than
+    /// `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -177,133 +180,139 @@
         Some(self.now.since(start))
     }
 
-    /// How many of the running processes think this of process `index`.
-    pub fn thinking(&self, index: usize, health: Health) -> usize {
+    /// Number of running processes that see process `index` in this health.
+    pub fn count_observers(&self, index: usize, health: Health) -> usize {
         let host = &self.nodes[index].host;
-        let running = self.nodes.iter().filter(|node| node.up);
+        let running = self.nodes.iter().filter(|node| node.is_running);
         running.filter(|node| node.membership.health(host) == Some(health)).count()
     }
 
-    /// Whether every running process knows exactly the running processes.
-    pub fn agrees(&self) -> bool {
-        let running = self.nodes.iter().filter(|node| node.up).count();
-        self.nodes.iter().filter(|node| node.up).all(|n| n.membership.alive_count() + 1 == running)
+    /// Whether every running process sees as many members alive as there are running processes.
+    pub fn has_converged(&self) -> bool {
+        let running = self.nodes.iter().filter(|node| node.is_running).count();
+        self.nodes
+            .iter()
+            .filter(|node| node.is_running)
+            .all(|n| n.membership.alive_count() + 1 == running)
     }
 
-    /// Bytes sent by all processes so far.
-    pub fn sent(&self) -> u64 {
-        self.nodes.iter().map(|node| node.sent).sum()
+    /// Bytes sent by all processes since the start.
+    pub fn sent_bytes(&self) -> u64 {
+        self.nodes.iter().map(|node| node.sent_bytes).sum()
     }
 
-    fn push(&mut self, at: Time, event: Event) {
-        self.next_event += 1;
-        self.events.push(Reverse((at, self.next_event)));
-        self.bodies.insert(self.next_event, event);
+    fn schedule(&mut self, at: Time, event: Event) {
+        self.last_event_id += 1;
+        self.events.push(Reverse((at, self.last_event_id)));
+        self.pending.insert(self.last_event_id, event);
     }
 
-    /// How long a message takes; `None` when it cannot arrive in time. QUIC sends a lost packet
-    /// again after a probe timeout that doubles each time.
-    fn transit(&mut self, a: usize, b: usize) -> Option<Duration> {
-        if self.nodes[a].side != self.nodes[b].side {
+    /// Draws the time that a message takes, or `None` if it does not arrive before the heartbeat
+    /// timeout. QUIC retransmits a lost packet after a probe timeout, which doubles each time.
+    fn sample_transit(&mut self, a: usize, b: usize) -> Option<Duration> {
+        if self.nodes[a].partition != self.nodes[b].partition {
             return None;
         }
         let mut transit = Duration::from_micros(self.rng.random_range(300..3_000));
-        let mut again = PROBE_TIMEOUT;
+        let mut retry_delay = PROBE_TIMEOUT;
         while self.rng.random_bool(self.loss) {
-            transit += again;
-            again *= 2;
+            transit += retry_delay;
+            retry_delay *= 2;
         }
         (transit < self.config.heartbeat_timeout).then_some(transit)
     }
 
-    fn send_all(&mut self, from: usize, sends: Vec<OutboundMessage>) {
-        for OutboundMessage { to, token, request } in sends {
-            self.nodes[from].sent += self.request_bytes(from, &request);
-            let late = self.now + self.config.heartbeat_timeout;
-            self.push(late, Event::Late { to: from, token });
-            let Some(&to) = self.by_address.get(&to) else {
+    fn send_requests(&mut self, from: usize, messages: Vec<OutboundMessage>) {
+        for OutboundMessage { to, token, request } in messages {
+            self.nodes[from].sent_bytes += self.request_bytes(from, &request);
+            let timeout_at = self.now + self.config.heartbeat_timeout;
+            self.schedule(timeout_at, Event::Timeout { to: from, token });
+            let Some(&to) = self.index_by_address.get(&to) else {
                 continue;
             };
-            if let Some(transit) = self.transit(from, to) {
-                self.push(self.now + transit, Event::Request { from, to, token, request });
+            if let Some(transit) = self.sample_transit(from, to) {
+                self.schedule(self.now + transit, Event::Request { from, to, token, request });
             }
         }
     }
 
-    fn deliver(&mut self) {
+    fn deliver_due_events(&mut self) {
         while let Some(Reverse((at, id))) = self.events.peek().copied() {
             if at > self.now {
                 return;
             }
             self.events.pop();
-            let event = self.bodies.remove(&id).expect("each event has a body");
-            self.take(event);
+            let event = self.pending.remove(&id).expect("each scheduled event is pending");
+            self.dispatch(event);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         let receiver = match &event {
-            Event::Request { to, .. } | Event::Reply { to, .. } | Event::Late { to, .. } => *to,
-            Event::Helped { helper, .. } => *helper,
+            Event::Request { to, .. } | Event::Reply { to, .. } | Event::Timeout { to, .. } => *to,
+            Event::IndirectProbeDone { helper, .. } => *helper,
         };
-        if !self.nodes[receiver].up {
+        if !self.nodes[receiver].is_running {
             return;
         }
         let paused_until = self.nodes[receiver].paused_until;
         if paused_until > self.now {
-            // What arrives waits in the socket until the process goes on.
-            return self.push(paused_until, event);
+            // Packets stay in the socket buffer until the process resumes.
+            return self.schedule(paused_until, event);
         }
         match event {
             Event::Request { from, to, token, request } => {
                 self.handle_request(from, to, token, request)
             }
-            Event::Reply { to, token, reply } => self.answer(to, token, Some(reply)),
-            Event::Late { to, token } => self.answer(to, token, None),
-            Event::Helped { helper, asker, token, reached } => {
-                self.reply(helper, asker, token, MembersReply::Reached(reached));
+            Event::Reply { to, token, reply } => self.deliver_reply(to, token, Some(reply)),
+            Event::Timeout { to, token } => self.deliver_reply(to, token, None),
+            Event::IndirectProbeDone { helper, requester, token, reached } => {
+                self.send_reply(helper, requester, token, MembersReply::Reached(reached));
             }
         }
     }
 
     fn handle_request(&mut self, from: usize, to: usize, token: u64, request: MembersRequest) {
         if let MembersRequest::IndirectProbe(address) = request {
-            let target = self.by_address.get(&address).copied();
+            let target = self.index_by_address.get(&address).copied();
             let reached = target.is_some_and(|target| {
-                let runs = self.nodes[target].up && self.nodes[target].paused_until <= self.now;
-                runs && self.transit(to, target).is_some() && self.transit(target, to).is_some()
+                let is_responsive =
+                    self.nodes[target].is_running && self.nodes[target].paused_until <= self.now;
+                is_responsive
+                    && self.sample_transit(to, target).is_some()
+                    && self.sample_transit(target, to).is_some()
             });
             let wait =
                 if reached { Duration::from_millis(5) } else { self.config.heartbeat_timeout };
-            let event = Event::Helped { helper: to, asker: from, token, reached };
-            return self.push(self.now + wait, event);
+            let event = Event::IndirectProbeDone { helper: to, requester: from, token, reached };
+            return self.schedule(self.now + wait, event);
         }
         let host = self.nodes[from].host.clone();
         let reply = self.nodes[to].membership.on_request(self.now, &host, request);
-        self.reply(to, from, token, reply);
+        self.send_reply(to, from, token, reply);
     }
 
-    fn reply(&mut self, from: usize, to: usize, token: u64, reply: MembersReply) {
+    fn send_reply(&mut self, from: usize, to: usize, token: u64, reply: MembersReply) {
         let body = ReplyBody::Members(reply.clone());
         let encoded = wire::encode(&Reply { generation: Default::default(), body });
-        self.nodes[from].sent += encoded.len() as u64 + MESSAGE_OVERHEAD + ACK_BYTES;
-        if let Some(transit) = self.transit(from, to) {
-            self.push(self.now + transit, Event::Reply { to, token, reply });
+        self.nodes[from].sent_bytes += encoded.len() as u64 + MESSAGE_OVERHEAD_BYTES + ACK_BYTES;
+        if let Some(transit) = self.sample_transit(from, to) {
+            self.schedule(self.now + transit, Event::Reply { to, token, reply });
         }
     }
 
-    fn answer(&mut self, to: usize, token: u64, reply: Option<MembersReply>) {
+    fn deliver_reply(&mut self, to: usize, token: u64, reply: Option<MembersReply>) {
         let now = self.now;
         let node = &mut self.nodes[to];
-        let sends = node.membership.on_reply(now, token, reply, &mut self.rng);
-        self.send_all(to, sends);
+        let messages = node.membership.on_reply(now, token, reply, &mut self.rng);
+        self.send_requests(to, messages);
     }
 
     fn request_bytes(&self, from: usize, request: &MembersRequest) -> u64 {
         let host = self.nodes[from].host.clone();
         let from = Sender { host, ..Sender::default() };
         let request = RequestMessage { from, body: RequestBody::Members(request.clone()) };
-        wire::encode(&request).len() as u64 + MESSAGE_OVERHEAD + ACK_BYTES
+        wire::encode(&request).len() as u64 + MESSAGE_OVERHEAD_BYTES + ACK_BYTES
     }
 }
 
@@ -312,7 +321,7 @@
     SocketAddr::from((Ipv4Addr::new(10, 0, high, low), 7_000))
 }
 
-fn member(index: usize, zones: usize, life: u64) -> Member {
+fn member(index: usize, zones: usize, incarnation: u64) -> Member {
     let zone = index / 4 % zones;
     let entry = index.is_multiple_of(4);
     Member {
@@ -321,7 +330,7 @@
         zone: format!("zone-{zone}").as_str().into(),
         region: format!("region-{}", zone % 3).as_str().into(),
         address: address(index),
-        incarnation: Incarnation((1_700_000_000 + life) << 24),
+        incarnation: Incarnation((1_700_000_000 + incarnation) << 24),
         leaving: false,
         endpoint: if entry { EndpointKind::None } else { EndpointKind::Engine },
         memory_mib: 0,
