--- a/bench/src/spread.rs
+++ b/bench/src/spread.rs
@@ -1,4 +1,5 @@
-//! Experiment: an accepted change in force in every process, by the real control code over QUIC.
+//! Experiment: time until an accepted configuration change is active in every process, with the
+//! control code of the node over QUIC on loopback.
 
 use std::fs;
 use std::path::Path;
@@ -44,14 +45,15 @@
 const ANY: &str = "127.0.0.1:0";
 const ZONES: usize = 2;
 const FILES: usize = 200;
-const BURST: usize = 20;
+const BURST_LEN: usize = 20;
 
-/// How long the processes get to know each other, and how long they are left alone.
-const SETTLE: Duration = Duration::from_secs(20);
-const QUIET: Duration = Duration::from_secs(10);
+/// Time that the processes have to discover each other, and time for which they are then measured
+/// at rest.
+const SETTLE_DURATION: Duration = Duration::from_secs(20);
+const MEASURE_DURATION: Duration = Duration::from_secs(10);
 
-/// A change must be in force everywhere within this.
-const LIMIT: Duration = Duration::from_secs(10);
+/// Time after which a process that has not activated a change counts as infinitely late.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Process {
     host: String,
@@ -63,7 +65,7 @@
     clock: Clock,
     telemetry: Telemetry,
     control: Control,
-    over: AtomicBool,
+    is_over: AtomicBool,
 }
 
 impl ControlNode for Process {
@@ -112,11 +114,11 @@
     }
 
     fn is_over(&self) -> bool {
-        self.over.load(Ordering::Acquire)
+        self.is_over.load(Ordering::Acquire)
     }
 }
 
-fn start(
+fn start_processes(
     ca: &DevelopmentCa,
     platform: &Platform,
     count: usize,
@@ -144,7 +146,7 @@
             clock: Clock::start(),
             telemetry: Telemetry::silent(),
             control: Control::new(seeds.clone()),
-            over: AtomicBool::new(false),
+            is_over: AtomicBool::new(false),
             transport,
             host,
         });
@@ -156,10 +158,10 @@
             address: process.transport.local_addr(),
             leaving: false,
         });
-        let asked = process.clone();
+        let handler = process.clone();
         thread::spawn(move || {
             for incoming in rx {
-                asked.control.handle(incoming);
+                handler.control.handle(incoming);
             }
         });
         control::start(&process);
@@ -170,7 +172,7 @@
     Ok(all)
 }
 
-fn texts(change: usize) -> FileContents {
+fn file_contents(change: usize) -> FileContents {
     let mut texts = FileContents::new();
     for file in 0..FILES {
         let weight = if file == change % FILES { 2 + change } else { 1 };
@@ -186,25 +188,26 @@
     texts
 }
 
-fn change(store: &HttpStore, number: usize) -> Result<Generation, String> {
+fn publish_change(store: &HttpStore, number: usize) -> Result<Generation, String> {
     let options = Options::new(Base::Accepted);
-    let accepted = publish::publish(store, &texts(number), &options).map_err(|e| e.to_string())?;
+    let accepted =
+        publish::publish(store, &file_contents(number), &options).map_err(|e| e.to_string())?;
     Ok(accepted.generation)
 }
 
-/// Milliseconds until each process has `generation` in force.
-fn wait(all: &[Arc<Process>], generation: Generation) -> Vec<f64> {
-    let begun = Instant::now();
-    let mut took = vec![None; all.len()];
-    while took.contains(&None) && begun.elapsed() < LIMIT {
-        for (process, took) in all.iter().zip(&mut took) {
-            if took.is_none() && process.documents.generation() >= generation {
-                *took = Some(begun.elapsed().as_secs_f64() * 1e3);
+/// Milliseconds until `generation` is active in each process; infinite after [`CHANGE_TIMEOUT`].
+fn wait_until_active(all: &[Arc<Process>], generation: Generation) -> Vec<f64> {
+    let started = Instant::now();
+    let mut elapsed_ms = vec![None; all.len()];
+    while elapsed_ms.contains(&None) && started.elapsed() < CHANGE_TIMEOUT {
+        for (process, elapsed_ms) in all.iter().zip(&mut elapsed_ms) {
+            if elapsed_ms.is_none() && process.documents.generation() >= generation {
+                *elapsed_ms = Some(started.elapsed().as_secs_f64() * 1e3);
             }
         }
         thread::sleep(Duration::from_millis(2));
     }
-    took.into_iter().map(|took| took.unwrap_or(f64::INFINITY)).collect()
+    elapsed_ms.into_iter().map(|elapsed_ms| elapsed_ms.unwrap_or(f64::INFINITY)).collect()
 }
 
 fn percentile(values: &mut [f64], share: f64) -> f64 {
@@ -212,7 +215,7 @@
     values[((values.len() - 1) as f64 * share) as usize]
 }
 
-/// Seconds of processor time of this whole program.
+/// Processor time of this program in seconds, user and system, at 100 clock ticks a second.
 fn cpu_seconds() -> f64 {
     let text = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split(' ').collect();
@@ -220,54 +223,55 @@
     (ticks(12) + ticks(13)) / 100.0
 }
 
-fn sent(all: &[Arc<Process>]) -> u64 {
+fn sent_bytes(all: &[Arc<Process>]) -> u64 {
     all.iter().map(|process| process.transport.traffic().sent).sum()
 }
 
-/// Runs it with `count` processes.
+/// Runs the experiment with `count` processes.
 pub fn run(count: usize, json: Option<&Path>) -> Result<(), String> {
     let ca = DevelopmentCa::generate().map_err(|e| e.to_string())?;
     let platform = Platform::start(ANY).map_err(|e| e.to_string())?;
-    let all = start(&ca, &platform, count)?;
+    let all = start_processes(&ca, &platform, count)?;
     let store = HttpStore::new(platform.base());
-    wait(&all, change(&store, 0)?);
-    thread::sleep(SETTLE);
-    let known: Vec<usize> = all.iter().map(|p| p.control.members().len()).collect();
-    let (cpu, bytes, called) = (cpu_seconds(), sent(&all), calls(&platform));
-    thread::sleep(QUIET);
-    let per = count as f64 * QUIET.as_secs_f64();
-    let rest = json!({
-        "bytes_a_second_sent": (sent(&all) - bytes) as f64 / per,
-        "share_of_a_core": (cpu_seconds() - cpu) / per,
-        "platform_calls_a_second": (calls(&platform) - called) as f64 / QUIET.as_secs_f64(),
+    wait_until_active(&all, publish_change(&store, 0)?);
+    thread::sleep(SETTLE_DURATION);
+    let member_counts: Vec<usize> = all.iter().map(|p| p.control.members().len()).collect();
+    let (cpu, bytes, calls) = (cpu_seconds(), sent_bytes(&all), platform_calls(&platform));
+    thread::sleep(MEASURE_DURATION);
+    let process_seconds = count as f64 * MEASURE_DURATION.as_secs_f64();
+    let at_rest = json!({
+        "bytes_a_second_sent": (sent_bytes(&all) - bytes) as f64 / process_seconds,
+        "share_of_a_core": (cpu_seconds() - cpu) / process_seconds,
+        "platform_calls_a_second":
+            (platform_calls(&platform) - calls) as f64 / MEASURE_DURATION.as_secs_f64(),
     });
     let mut single = Vec::new();
-    let bytes = sent(&all);
+    let bytes = sent_bytes(&all);
     for number in 1..=5 {
-        single.extend(wait(&all, change(&store, number)?));
+        single.extend(wait_until_active(&all, publish_change(&store, number)?));
         thread::sleep(Duration::from_millis(500));
     }
     let mut last = Generation(0);
-    for number in 0..BURST {
-        last = change(&store, 10 + number)?;
+    for number in 0..BURST_LEN {
+        last = publish_change(&store, 10 + number)?;
     }
-    let mut burst = wait(&all, last);
+    let mut burst = wait_until_active(&all, last);
     let figures = json!({
         "processes": count,
         "zones": ZONES,
         "files": FILES,
-        "members_known_lowest": known.iter().min(),
-        "at_rest": rest,
+        "members_known_lowest": member_counts.iter().min(),
+        "at_rest": at_rest,
         "one_change_ms": summary(&mut single),
         "burst_of_20_ms_after_the_last": summary(&mut burst),
-        "bytes_sent_a_process_a_change": (sent(&all) - bytes) as f64 / count as f64 / 25.0,
+        "bytes_sent_a_process_a_change": (sent_bytes(&all) - bytes) as f64 / count as f64 / 25.0,
     });
-    all.iter().for_each(|process| process.over.store(true, Ordering::Release));
+    all.iter().for_each(|process| process.is_over.store(true, Ordering::Release));
     figures::write(&figures, json)
 }
 
-/// Reads, writes and watches counted so far.
-fn calls(platform: &Platform) -> u64 {
+/// Reads, writes and watches that the platform has counted since its start.
+fn platform_calls(platform: &Platform) -> u64 {
     let calls = platform.calls();
     calls.reads + calls.writes + calls.watches
 }
