--- a/bench/tests/control/main.rs
+++ b/bench/tests/control/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the collective behaviour of control, on simulated time.
+//! Tests of membership across a simulated fleet, and of the size of the target's configuration.
 
 mod members;
 mod target;
--- a/bench/tests/control/target.rs
+++ b/bench/tests/control/target.rs
@@ -1,9 +1,9 @@
 use mastichaven_bench::target;
 
-// One change sends one file to every process. If the target's deployment needed files of hundreds
-// of kilobytes, each change would break the budget of 3 KB a second for 16 seconds.
+// A change of one file sends that file to every process. With files of hundreds of kilobytes, each
+// change would exceed the budget of 3 KB a second for 16 seconds.
 #[test]
-fn run_keeps_files_small() {
+fn run_largest_file_below_16_kib() {
     let out = std::env::temp_dir().join(format!("mastichaven-target-{}", std::process::id()));
     let report = target::run(&out).unwrap();
     std::fs::remove_dir_all(&out).unwrap();
