--- a/bench/src/weights.rs
+++ b/bench/src/weights.rs
@@ -1,8 +1,8 @@
-//! Time and bytes until every host has a whole version.
+//! Experiment: time and traffic until every host has a complete version.
 //!
-//! Each host runs the agent's own weight threads, store and transport over loopback; only its link
-//! is a token bucket of this process. The figure to compare is time ÷ lower bound, where the lower
-//! bound is the model's bytes ÷ one host's link.
+//! Each host runs the weight threads, store and transport of the agent over loopback; only its link
+//! is simulated, by a token bucket of this process. The figure to compare is time ÷ lower bound,
+//! where the lower bound is the size of the model ÷ the rate of the link of one host.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -47,55 +47,55 @@
 use net::HostLink;
 use net::Net;
 use net::Rates;
-use net::place_of;
+use net::location_of;
 
 const ANY: &str = "127.0.0.1:0";
 const MODEL_LEN: usize = 2 << 20;
 const CHUNK_LEN: u32 = 16 << 10;
-const HOST_RATE: f64 = 256.0 * 1024.0;
+const HOST_BYTES_PER_SECOND: f64 = 256.0 * 1024.0;
 
 /// The origin's link carries twice what one host's does, as in the users' window (four copies, two).
-const ORIGIN_RATE: f64 = 2.0 * HOST_RATE;
-const REGION_RATE: f64 = 2.0 * HOST_RATE;
+const ORIGIN_BYTES_PER_SECOND: f64 = 2.0 * HOST_BYTES_PER_SECOND;
+const REGION_BYTES_PER_SECOND: f64 = 2.0 * HOST_BYTES_PER_SECOND;
 const ORIGIN_COPIES: f64 = 1.3;
 const STORE_LEN: u64 = 64 << 20;
 
-/// A way that needs longer than this many lower bounds is stopped and reported as unfinished.
-const LONGEST: f64 = 3.0;
+/// A run that takes longer than this many lower bounds is stopped and reported as unfinished.
+const MAX_LOWER_BOUNDS: f64 = 3.0;
 
-/// How often completion is looked at.
-const POLL: Duration = Duration::from_millis(25);
+/// Interval at which completion is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The version sent before the measured one.
+/// Size and limits of the version that is distributed before the measured one.
 const WARM_UP_CHUNKS: usize = 96;
 const WARM_UP_CHUNK_LEN: u32 = 64;
 const WARM_UP_COPIES: f64 = 4.0;
-const WARM_UP_LIMIT: Duration = Duration::from_secs(15);
+const WARM_UP_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Bytes of an ask on the wire, beside QUIC's own.
-const ASK_LEN: u64 = 100;
+/// Size of a request in bytes, without the overhead of QUIC.
+const REQUEST_LEN: u64 = 100;
 
-const DEFAULT_HOSTS: usize = 200;
+const DEFAULT_HOST_COUNT: usize = 200;
 
-/// Options of the experiment.
+/// Options of the `weights` command.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(generate(options))]
 pub struct Options {
-    /// Hosts; may be given several times
+    /// Number of hosts; may be given several times
     #[bpaf(argument("N"), many)]
     hosts: Vec<usize>,
-    /// Run the swarm alone, without the other ways
+    /// Run only the swarm, without the other ways
     swarm_only: bool,
     /// Leave out the run with faults
     no_faults: bool,
-    /// Run with faults alone
+    /// Run only with faults
     faults_only: bool,
     /// Also write the figures to this file
     #[bpaf(argument("FILE"), optional)]
     json: Option<PathBuf>,
 }
 
-/// The figures of one run.
+/// Figures of one run.
 #[derive(Clone, Debug, Serialize)]
 struct Figures {
     way: &'static str,
@@ -121,16 +121,18 @@
     failed: u64,
 }
 
-/// Runs the experiment.
+/// Runs the experiment for each number of hosts, prints the figures, and writes them to the file
+/// that the options name.
 pub fn run(options: &Options) -> Result<()> {
-    let hosts = if options.hosts.is_empty() { vec![DEFAULT_HOSTS] } else { options.hosts.clone() };
+    let hosts =
+        if options.hosts.is_empty() { vec![DEFAULT_HOST_COUNT] } else { options.hosts.clone() };
     let mut all = Vec::new();
     println!(
         "model {} KiB in {} chunks, host link {} KiB/s, origin and region links {} KiB/s",
         MODEL_LEN >> 10,
         MODEL_LEN / CHUNK_LEN as usize,
-        HOST_RATE / 1024.0,
-        ORIGIN_RATE / 1024.0
+        HOST_BYTES_PER_SECOND / 1024.0,
+        ORIGIN_BYTES_PER_SECOND / 1024.0
     );
     println!(
         "{:<8} {:>5} {:>6} {:>9} {:>9} {:>7} {:>7} {:>7} {:>8} {:>9}",
@@ -146,8 +148,8 @@
         "B/h/s"
     );
     for count in hosts {
-        for (name, way, faults) in runs(options) {
-            let figures = push(name, way, count, faults)?;
+        for (name, strategy, faults) in planned_runs(options) {
+            let figures = measure_rollout(name, strategy, count, faults)?;
             print_row(&figures);
             all.push(figures);
         }
@@ -159,7 +161,7 @@
     Ok(())
 }
 
-fn runs(options: &Options) -> Vec<(&'static str, Strategy, bool)> {
+fn planned_runs(options: &Options) -> Vec<(&'static str, Strategy, bool)> {
     let mut runs = Vec::new();
     if !options.swarm_only && !options.faults_only {
         runs.push(("origin", Strategy::Origin, false));
@@ -193,7 +195,7 @@
 }
 
 struct Host {
-    place: PeerLocation,
+    location: PeerLocation,
     transport: Transport,
     weights: Weights,
 }
@@ -209,10 +211,14 @@
     HostName::new(format!("host-{n:03}"))
 }
 
-fn start(way: Strategy, count: usize) -> Result<Run> {
+fn start(strategy: Strategy, count: usize) -> Result<Run> {
     let io = |e: std::io::Error| e.to_string();
     let names: Vec<HostName> = (0..count).map(name_of).collect();
-    let rates = Rates { host: HOST_RATE, region: REGION_RATE, origin: ORIGIN_RATE };
+    let rates = Rates {
+        host: HOST_BYTES_PER_SECOND,
+        region: REGION_BYTES_PER_SECOND,
+        origin: ORIGIN_BYTES_PER_SECOND,
+    };
     let net = Net::new(&names, rates);
     let origin = Origin::start(ANY, rates.origin).map_err(io)?;
     let platform = Platform::start(ANY).map_err(io)?;
@@ -220,40 +226,40 @@
     let clock = Clock::start();
     let mut hosts = Vec::new();
     for n in 0..count {
-        hosts.push(start_host(n, way, &ca, &net, &origin, &platform, clock)?);
+        hosts.push(start_host(n, strategy, &ca, &net, &origin, &platform, clock)?);
     }
     Ok(Run { net, origin, hosts, _platform: platform })
 }
 
 fn start_host(
     n: usize,
-    way: Strategy,
+    strategy: Strategy,
     ca: &DevelopmentCa,
     net: &Arc<Net>,
     origin: &Origin,
     platform: &Platform,
     clock: Clock,
 ) -> Result<Host> {
-    let (zone, region) = place_of(n);
-    let place = PeerLocation {
+    let (zone, region) = location_of(n);
+    let location = PeerLocation {
         host: name_of(n),
         zone: format!("zone-{zone}").as_str().into(),
         region: format!("region-{region}").as_str().into(),
     };
-    let material = ca.material(&place.host, Role::Agent).map_err(|e| e.to_string())?;
+    let material = ca.material(&location.host, Role::Agent).map_err(|e| e.to_string())?;
     let (tx, rx) = flume::bounded(1_024);
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let transport = Transport::start(address, &material, tx).map_err(|e| e.to_string())?;
-    let from = Sender { host: place.host.clone(), ..Sender::default() };
+    let from = Sender { host: location.host.clone(), ..Sender::default() };
     let weights = Weights::start(Setup {
-        location: place.clone(),
-        strategy: way,
+        location: location.clone(),
+        strategy,
         origin_region: Some("region-0".into()),
         transport: transport.clone(),
         store: Arc::new(Store::in_memory(STORE_LEN)),
-        origin: OriginClient::new(origin.base_for(place.host.as_str())),
+        origin: OriginClient::new(origin.base_for(location.host.as_str())),
         platform: Arc::new(HttpStore::new(platform.base())),
-        link: Arc::new(HostLink { net: net.clone(), me: n }),
+        link: Arc::new(HostLink { net: net.clone(), host_index: n }),
         clock,
         telemetry: Telemetry::silent(),
         sender: Arc::new(move || from.clone()),
@@ -264,12 +270,17 @@
             server.serve(incoming);
         }
     });
-    Ok(Host { place, transport, weights })
+    Ok(Host { location, transport, weights })
 }
 
-/// Pushes one version to `count` hosts and measures it.
-fn push(name: &'static str, way: Strategy, count: usize, faults: bool) -> Result<Figures> {
-    let run = start(way, count)?;
+/// Distributes one version to `count` hosts and measures it.
+fn measure_rollout(
+    name: &'static str,
+    strategy: Strategy,
+    count: usize,
+    faults: bool,
+) -> Result<Figures> {
+    let run = start(strategy, count)?;
     let mut weights = vec![0; MODEL_LEN];
     ChaCha8Rng::seed_from_u64(1).fill(&mut weights[..]);
     let version = run.origin.put(&weights, CHUNK_LEN).digest();
@@ -277,61 +288,67 @@
         .hosts
         .iter()
         .map(|host| PeerAddress {
-            location: host.place.clone(),
+            location: host.location.clone(),
             address: host.transport.local_addr(),
         })
         .collect();
     for host in &run.hosts {
         host.weights.set_peers(peers.clone());
     }
-    let lower_bound = Duration::from_secs_f64(MODEL_LEN as f64 / HOST_RATE);
-    // Every host from the origin is one copy a host; the other ways are held to the hard budget.
-    let origin_copies = if way == Strategy::Origin { count as f64 } else { ORIGIN_COPIES };
-    warm_up(&run, way);
-    let before =
-        Before { crossed: run.net.crossed(), sent: run.origin.sent_to(), counts: counts_of(&run) };
+    let lower_bound = Duration::from_secs_f64(MODEL_LEN as f64 / HOST_BYTES_PER_SECOND);
+    // When every host pulls from the origin, one copy per host leaves it. The other strategies have
+    // to stay within the origin budget.
+    let origin_copies = if strategy == Strategy::Origin { count as f64 } else { ORIGIN_COPIES };
+    warm_up(&run, strategy);
+    let baseline = Baseline {
+        traffic: run.net.traffic(),
+        sent: run.origin.sent_to(),
+        counts: counts_of(&run),
+    };
     let started = Instant::now();
     for host in &run.hosts {
         host.weights.set_wanted(WantedVersions { versions: vec![version], origin_copies });
     }
     let mut schedule = Faults::new(faults, count, lower_bound);
-    let mut reached = Reached::default();
-    let limit = lower_bound.mul_f64(LONGEST);
+    let mut milestones = Milestones::default();
+    let limit = lower_bound.mul_f64(MAX_LOWER_BOUNDS);
     let mut finished = 0;
     while started.elapsed() < limit {
-        schedule.step(started.elapsed(), &run);
-        finished = complete(&run, version, &schedule.killed);
-        reached.note(finished, count, started.elapsed());
-        if finished == count - schedule.killed.len() && schedule.is_over() {
+        schedule.apply_due(started.elapsed(), &run);
+        finished = count_complete_hosts(&run, version, &schedule.killed);
+        milestones.record(finished, count, started.elapsed());
+        if finished == count - schedule.killed.len() && schedule.is_finished() {
             break;
         }
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
     let seconds = started.elapsed().as_secs_f64();
-    let timing = Timing { finished, seconds, lower_bound: lower_bound.as_secs_f64(), reached };
-    Ok(measure(name, &run, faults, &before, &timing))
+    let timing = Timing { finished, seconds, lower_bound: lower_bound.as_secs_f64(), milestones };
+    Ok(figures_of(name, &run, faults, &baseline, &timing))
 }
 
-/// Sends a tiny version first, so that the hosts are connected as after an earlier push. A fleet
-/// has a processor a host for its handshakes; this process has one machine for all of them.
-fn warm_up(run: &Run, way: Strategy) {
+/// Distributes a tiny version first, so that the hosts are connected as after an earlier rollout.
+/// In a fleet each host has a processor for its handshakes; here one machine does all of them.
+fn warm_up(run: &Run, strategy: Strategy) {
     let mut weights = vec![0; WARM_UP_CHUNKS * WARM_UP_CHUNK_LEN as usize];
     ChaCha8Rng::seed_from_u64(2).fill(&mut weights[..]);
     let version = run.origin.put(&weights, WARM_UP_CHUNK_LEN).digest();
     let origin_copies =
-        if way == Strategy::Origin { run.hosts.len() as f64 } else { WARM_UP_COPIES };
+        if strategy == Strategy::Origin { run.hosts.len() as f64 } else { WARM_UP_COPIES };
     for host in &run.hosts {
         host.weights.set_wanted(WantedVersions { versions: vec![version], origin_copies });
     }
     let started = Instant::now();
-    while started.elapsed() < WARM_UP_LIMIT && complete(run, version, &[]) < run.hosts.len() {
-        thread::sleep(POLL);
+    while started.elapsed() < WARM_UP_TIMEOUT
+        && count_complete_hosts(run, version, &[]) < run.hosts.len()
+    {
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Figures before the measured push.
-struct Before {
-    crossed: net::Crossed,
+/// Counters before the measured rollout.
+struct Baseline {
+    traffic: net::Traffic,
     sent: BTreeMap<String, u64>,
     counts: Vec<Counts>,
 }
@@ -340,16 +357,16 @@
     run.hosts.iter().map(|host| host.weights.progress().counts).collect()
 }
 
-/// When which share of the hosts was complete.
+/// Seconds until a share of the hosts was complete; 0 until then.
 #[derive(Default)]
-struct Reached {
+struct Milestones {
     first: f64,
     half: f64,
     nine_tenths: f64,
 }
 
-impl Reached {
-    fn note(&mut self, finished: usize, count: usize, elapsed: Duration) {
+impl Milestones {
+    fn record(&mut self, finished: usize, count: usize, elapsed: Duration) {
         let seconds = elapsed.as_secs_f64();
         for (at, needed) in [
             (&mut self.first, 1),
@@ -367,37 +384,37 @@
     finished: usize,
     seconds: f64,
     lower_bound: f64,
-    reached: Reached,
+    milestones: Milestones,
 }
 
-fn complete(run: &Run, version: Digest, killed: &[usize]) -> usize {
-    let whole = |(n, host): &(usize, &Host)| {
+fn count_complete_hosts(run: &Run, version: Digest, killed: &[usize]) -> usize {
+    let is_complete = |(n, host): &(usize, &Host)| {
         !killed.contains(n) && host.weights.store().is_complete(version)
     };
-    run.hosts.iter().enumerate().filter(whole).count()
+    run.hosts.iter().enumerate().filter(is_complete).count()
 }
 
-fn measure(
+fn figures_of(
     way: &'static str,
     run: &Run,
     faults: bool,
-    before: &Before,
+    baseline: &Baseline,
     timing: &Timing,
 ) -> Figures {
-    let crossed = run.net.crossed();
+    let traffic = run.net.traffic();
     let hosts = run.hosts.len();
     let copies = |bytes: u64| bytes as f64 / MODEL_LEN as f64;
-    let less = |now: &[u64], old: &[u64]| -> Vec<u64> {
-        now.iter().zip(old).map(|(now, old)| now - old).collect()
+    let increase = |now: &[u64], earlier: &[u64]| -> Vec<u64> {
+        now.iter().zip(earlier).map(|(now, earlier)| now - earlier).collect()
     };
-    let mut region_in = less(&crossed.region_in, &before.crossed.region_in);
-    let region_out = less(&crossed.region_out, &before.crossed.region_out);
-    let mut zone_in = less(&crossed.zone_in, &before.crossed.zone_in);
+    let mut region_in = increase(&traffic.region_in, &baseline.traffic.region_in);
+    let region_out = increase(&traffic.region_out, &baseline.traffic.region_out);
+    let mut zone_in = increase(&traffic.zone_in, &baseline.traffic.zone_in);
     let mut from_origin = 0;
     for (host, bytes) in run.origin.sent_to() {
         let n = (0..hosts).find(|n| name_of(*n).as_str() == host).unwrap_or_default();
-        let (zone, region) = place_of(n);
-        let bytes = bytes - before.sent.get(&host).copied().unwrap_or_default();
+        let (zone, region) = location_of(n);
+        let bytes = bytes - baseline.sent.get(&host).copied().unwrap_or_default();
         from_origin += bytes;
         zone_in[zone] += bytes;
         if region != 0 {
@@ -406,14 +423,14 @@
     }
     let counts = counts_of(run);
     let sum = |of: fn(&Counts) -> u64| -> u64 {
-        counts.iter().map(of).sum::<u64>() - before.counts.iter().map(of).sum::<u64>()
+        counts.iter().map(of).sum::<u64>() - baseline.counts.iter().map(of).sum::<u64>()
     };
     let per_host = |value: u64| value as f64 / hosts as f64;
     let most = |bytes: Vec<u64>| bytes.into_iter().map(copies).fold(0.0, f64::max);
-    let answers = crossed.control_messages - before.crossed.control_messages;
-    let answer_bytes = crossed.control_bytes - before.crossed.control_bytes;
-    // The net counts answers without a chunk; each ask is one message more, of about 100 bytes.
-    let asks = sum(|c| c.polls) + sum(|c| c.requests);
+    let replies = traffic.control_messages - baseline.traffic.control_messages;
+    let reply_bytes = traffic.control_bytes - baseline.traffic.control_bytes;
+    // The links count only replies without a chunk; each request is one more message.
+    let requests = sum(|c| c.polls) + sum(|c| c.requests);
     let bound = timing.lower_bound;
     Figures {
         way,
@@ -423,15 +440,16 @@
         lower_bound_seconds: bound,
         seconds: timing.seconds,
         time_over_lower_bound: timing.seconds / bound,
-        first_host_over_lower_bound: timing.reached.first / bound,
-        half_over_lower_bound: timing.reached.half / bound,
-        nine_tenths_over_lower_bound: timing.reached.nine_tenths / bound,
+        first_host_over_lower_bound: timing.milestones.first / bound,
+        half_over_lower_bound: timing.milestones.half / bound,
+        nine_tenths_over_lower_bound: timing.milestones.nine_tenths / bound,
         origin_copies: copies(from_origin),
         most_copies_into_a_region: most(region_in),
         most_copies_out_of_a_region: most(region_out),
         most_copies_into_a_zone: most(zone_in),
-        control_messages_per_host_second: per_host(answers + asks) / timing.seconds,
-        control_bytes_per_host_second: per_host(answer_bytes + asks * ASK_LEN) / timing.seconds,
+        control_messages_per_host_second: per_host(replies + requests) / timing.seconds,
+        control_bytes_per_host_second: per_host(reply_bytes + requests * REQUEST_LEN)
+            / timing.seconds,
         polls_per_host: per_host(sum(|c| c.polls)),
         asks_per_host: per_host(sum(|c| c.requests)),
         doubled: sum(|c| c.duplicated),
--- a/bench/src/weights/net.rs
+++ b/bench/src/weights/net.rs
@@ -1,4 +1,5 @@
-//! Links between the hosts of one process: token buckets for hosts and regions, and their faults.
+//! Simulated links between the hosts of the experiment: token buckets of hosts and regions, and
+//! faults.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,67 +14,70 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Regions, each with its zones: 3 regions, 8 availability zones.
+/// Availability zones of each region.
 pub const REGIONS: [&[usize]; 3] = [&[0, 1, 2], &[3, 4, 5], &[6, 7]];
 
-/// Number of availability zones.
+/// Number of availability zones in all regions.
 pub const ZONES: usize = 8;
 
-/// Rates of the links, in bytes a second each way.
+/// Rates of the links in bytes a second, in each direction.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
-    /// A host's link.
+    /// Rate of the link of one host.
     pub host: f64,
-    /// A region's link to the others.
+    /// Rate of the link of one region to the others.
     pub region: f64,
-    /// The origin's link.
+    /// Rate of the outgoing link of the origin.
     pub origin: f64,
 }
 
-/// Where host `n` stands: its zone and region.
-pub fn place_of(n: usize) -> (usize, usize) {
+/// Zone and region of host `n`.
+pub fn location_of(n: usize) -> (usize, usize) {
     let zone = n % ZONES;
     let region = REGIONS.iter().position(|zones| zones.contains(&zone)).unwrap_or_default();
     (zone, region)
 }
 
-/// Bytes that crossed borders.
+/// Traffic between regions, between zones and without chunks, counted from the start.
 #[derive(Clone, Debug, Default)]
-pub struct Crossed {
-    /// Into each region from others.
+pub struct Traffic {
+    /// Bytes into each region from other regions.
     pub region_in: [u64; REGIONS.len()],
-    /// Out of each region to others.
+    /// Bytes out of each region to other regions.
     pub region_out: [u64; REGIONS.len()],
-    /// Into each zone from others.
+    /// Bytes into each zone from other zones.
     pub zone_in: [u64; ZONES],
-    /// Messages sent that carry no chunk.
+    /// Number of replies sent without a chunk.
     pub control_messages: u64,
-    /// Their bytes.
+    /// Bytes of those replies.
     pub control_bytes: u64,
 }
 
 struct State {
-    up: Vec<Time>,
-    down: Vec<Time>,
-    region_out: [Time; REGIONS.len()],
-    region_in: [Time; REGIONS.len()],
-    crossed: Crossed,
-    dead: Vec<bool>,
+    uplink_free_at: Vec<Time>,
+    downlink_free_at: Vec<Time>,
+    region_out_free_at: [Time; REGIONS.len()],
+    region_in_free_at: [Time; REGIONS.len()],
+    traffic: Traffic,
+    killed: Vec<bool>,
     stalled: Vec<bool>,
-    cut_zone: Option<usize>,
+    partitioned_zone: Option<usize>,
     corrupt_share: f64,
     rng: ChaCha8Rng,
 }
 
 impl State {
-    fn loses(&self, from: usize, to: usize) -> bool {
-        let ((zone, _), (to_zone, _)) = (place_of(from), place_of(to));
-        let cut = |cut: usize| zone != to_zone && (cut == zone || cut == to_zone);
-        self.cut_zone.is_some_and(cut) || self.dead[from] || self.dead[to] || self.stalled[from]
+    fn drops(&self, from: usize, to: usize) -> bool {
+        let ((zone, _), (to_zone, _)) = (location_of(from), location_of(to));
+        let separates = |cut: usize| zone != to_zone && (cut == zone || cut == to_zone);
+        self.partitioned_zone.is_some_and(separates)
+            || self.killed[from]
+            || self.killed[to]
+            || self.stalled[from]
     }
 }
 
-/// All links.
+/// Links of all hosts and regions.
 pub struct Net {
     rates: Rates,
     names: BTreeMap<HostName, usize>,
@@ -81,21 +85,21 @@
 }
 
 impl Net {
-    /// Links of `hosts` hosts.
+    /// Creates idle links for `hosts`; the index of a host in the slice is its number.
     pub fn new(hosts: &[HostName], rates: Rates) -> Arc<Net> {
         let count = hosts.len();
         Arc::new(Net {
             rates,
             names: hosts.iter().enumerate().map(|(n, host)| (host.clone(), n)).collect(),
             state: Mutex::new(State {
-                up: vec![Time::ZERO; count],
-                down: vec![Time::ZERO; count],
-                region_out: Default::default(),
-                region_in: Default::default(),
-                crossed: Crossed::default(),
-                dead: vec![false; count],
+                uplink_free_at: vec![Time::ZERO; count],
+                downlink_free_at: vec![Time::ZERO; count],
+                region_out_free_at: Default::default(),
+                region_in_free_at: Default::default(),
+                traffic: Traffic::default(),
+                killed: vec![false; count],
                 stalled: vec![false; count],
-                cut_zone: None,
+                partitioned_zone: None,
                 corrupt_share: 0.0,
                 rng: ChaCha8Rng::seed_from_u64(7),
             }),
@@ -106,68 +110,81 @@
         self.state.lock().expect("no holder of this lock panics")
     }
 
-    /// What crossed borders so far.
-    pub fn crossed(&self) -> Crossed {
-        self.lock().crossed.clone()
+    /// Traffic since the start.
+    pub fn traffic(&self) -> Traffic {
+        self.lock().traffic.clone()
     }
 
-    /// Nothing reaches or leaves host `n` any more.
+    /// Drops all messages to and from host `n` from now on.
     pub fn kill(&self, n: usize) {
-        self.lock().dead[n] = true;
+        self.lock().killed[n] = true;
     }
 
-    /// What host `n` sends gets lost while `stalled`.
+    /// Drops all messages from host `n` while `stalled`.
     pub fn set_stalled(&self, n: usize, stalled: bool) {
         self.lock().stalled[n] = stalled;
     }
 
-    /// Cuts a zone off from all others, or heals it.
-    pub fn set_cut(&self, zone: Option<usize>) {
-        self.lock().cut_zone = zone;
+    /// Partitions a zone from all others; `None` heals the partition.
+    pub fn set_partitioned_zone(&self, zone: Option<usize>) {
+        self.lock().partitioned_zone = zone;
     }
 
-    /// The share of chunks that arrive damaged.
+    /// Sets the share of chunks that are corrupted, from 0 to 1.
     pub fn set_corrupt_share(&self, share: f64) {
         self.lock().corrupt_share = share;
     }
 }
 
-fn pass(free_at: &mut Time, now: Time, len: usize, rate: f64) -> Time {
+/// Occupies a link for `len` bytes once it is free. Returns when they are transmitted.
+fn reserve_link(free_at: &mut Time, now: Time, len: usize, rate: f64) -> Time {
     *free_at = (*free_at).max(now) + Duration::from_secs_f64(len as f64 / rate);
     *free_at
 }
 
 /// The link of one host.
 pub struct HostLink {
-    /// All links.
+    /// Links of all hosts and regions.
     pub net: Arc<Net>,
-    /// The host's number.
-    pub me: usize,
+    /// Number of the host.
+    pub host_index: usize,
 }
 
 impl Link for HostLink {
-    /// A message occupies the sender's and receiver's links, and on a border both regions' links;
-    /// it has arrived when the slowest of them has passed it.
+    /// A message occupies the links of the sender and the receiver, and between regions also those
+    /// of both regions. It arrives when the last of these links has transmitted it.
     fn reserve(&self, to: &HostName, len: usize, now: Time) -> Option<Time> {
         let to = *self.net.names.get(to)?;
-        let ((zone, region), (to_zone, to_region)) = (place_of(self.me), place_of(to));
+        let ((zone, region), (to_zone, to_region)) =
+            (location_of(self.host_index), location_of(to));
         let rates = self.net.rates;
         let mut guard = self.net.lock();
         let state = &mut *guard;
-        if state.loses(self.me, to) {
+        if state.drops(self.host_index, to) {
             return None;
         }
-        let mut end = pass(&mut state.up[self.me], now, len, rates.host);
-        end = end.max(pass(&mut state.down[to], now, len, rates.host));
-        let len_crossed = len as u64;
+        let mut end =
+            reserve_link(&mut state.uplink_free_at[self.host_index], now, len, rates.host);
+        end = end.max(reserve_link(&mut state.downlink_free_at[to], now, len, rates.host));
+        let bytes = len as u64;
         if zone != to_zone {
-            state.crossed.zone_in[to_zone] += len_crossed;
+            state.traffic.zone_in[to_zone] += bytes;
         }
         if region != to_region {
-            end = end.max(pass(&mut state.region_out[region], now, len, rates.region));
-            end = end.max(pass(&mut state.region_in[to_region], now, len, rates.region));
-            state.crossed.region_out[region] += len_crossed;
-            state.crossed.region_in[to_region] += len_crossed;
+            end = end.max(reserve_link(
+                &mut state.region_out_free_at[region],
+                now,
+                len,
+                rates.region,
+            ));
+            end = end.max(reserve_link(
+                &mut state.region_in_free_at[to_region],
+                now,
+                len,
+                rates.region,
+            ));
+            state.traffic.region_out[region] += bytes;
+            state.traffic.region_in[to_region] += bytes;
         }
         Some(end)
     }
@@ -177,9 +194,9 @@
             return false;
         };
         let mut state = self.net.lock();
-        state.crossed.control_messages += 1;
-        state.crossed.control_bytes += len as u64;
-        !state.loses(self.me, to)
+        state.traffic.control_messages += 1;
+        state.traffic.control_bytes += len as u64;
+        !state.drops(self.host_index, to)
     }
 
     fn transmit(&self, bytes: Bytes) -> Bytes {
@@ -188,9 +205,9 @@
         if share == 0.0 || !state.rng.random_bool(share) {
             return bytes;
         }
-        let mut damaged = bytes.to_vec();
-        damaged[0] ^= 1;
-        damaged.into()
+        let mut corrupted = bytes.to_vec();
+        corrupted[0] ^= 1;
+        corrupted.into()
     }
 
     fn set_link_shared(&self, _: bool) {}
