--- a/bench/tests/weights/main.rs
+++ b/bench/tests/weights/main.rs
@@ -1,4 +1,4 @@
-//! Rollouts on a whole fleet.
+//! Tests of rollouts, plans and replicas on a fleet of stand-ins.
 
 mod outage;
 mod rollout;
--- a/bench/tests/weights/outage.rs
+++ b/bench/tests/weights/outage.rs
@@ -5,12 +5,13 @@
 use mastichaven_bench::fleet::wait_until;
 use mastichaven_core::ids::HostName;
 
-const LIMIT: Duration = Duration::from_secs(90);
+const TIMEOUT: Duration = Duration::from_secs(90);
 
-// The platform is down for long and a replica's host dies. No planner can write a plan; without the
-// zone helping itself from the plan's candidates, its callers would wait on one replica for hours.
+// A replica's host crashes during a long outage of the platform, when no planner can write a plan.
+// If the zone did not load the model on a candidate of the last plan, one replica would have to
+// serve all callers for hours.
 #[test]
-fn candidate_stands_in_while_platform_is_down() {
+fn candidate_loads_model_while_platform_is_down() {
     let zones = vec![("lagoa", "sul")];
     let layout = Layout { zones, engines: 3, ..Layout::default() };
     let mut fleet = Fleet::start(&layout).unwrap();
@@ -20,32 +21,37 @@
     let mut config = fleet.configuration(&manifest).unwrap();
     config.placement.get_mut("rota").unwrap().replicas = 2;
     fleet.publish(&config).unwrap();
-    assert!(wait_until(LIMIT, || fleet.replicas(weights) == 2).is_some());
-    let holds = |fleet: &Fleet, wanted: bool| -> HostName {
-        let found = fleet.engines.iter().find(|(_, e)| (e.weights() == Some(weights)) == wanted);
+    assert!(wait_until(TIMEOUT, || fleet.replicas(weights) == 2).is_some());
+    let find_host = |fleet: &Fleet, has_weights: bool| -> HostName {
+        let found =
+            fleet.engines.iter().find(|(_, e)| (e.weights() == Some(weights)) == has_weights);
         found.unwrap().0.clone()
     };
-    let (victim, spare) = (holds(&fleet, true), holds(&fleet, false));
-    // The candidate must have read the plan that names it before the platform goes.
+    let (victim, candidate) = (find_host(&fleet, true), find_host(&fleet, false));
+    // Gives the candidate time to read the plan that names it before the platform goes down.
     std::thread::sleep(Duration::from_secs(3));
     fleet.platform.set_faults(|faults| faults.down = true);
     fleet.crash_host(&victim);
-    let took = wait_until(LIMIT, || fleet.engines[&spare].weights() == Some(weights));
-    assert!(took.is_some(), "the spare host did not step in");
+    let took = wait_until(TIMEOUT, || fleet.engines[&candidate].weights() == Some(weights));
+    assert!(took.is_some(), "the candidate did not load the model");
     fleet.platform.set_faults(|faults| faults.down = false);
     fleet.stop();
 }
 
-// The answers to writes of the lease and the plan are lost, with three entries that would plan. A
-// plan written twice or by two planners would move replicas back and forth.
+// Three entries compete for the planner's lease, and the answers to writes of the lease and the
+// plan are lost. A plan written twice or by two planners would move replicas back and forth.
 #[test]
-fn plan_settles_when_answers_are_lost() {
+fn plan_one_order_per_engine_with_lost_write_answers() {
     let zones = vec![("lagoa", "sul")];
     let layout = Layout { zones, entries: 3, engines: 3, ..Layout::default() };
     let fleet = Fleet::start(&layout).unwrap();
     fleet.platform.set_faults(|faults| faults.lose_answers = 6);
-    let weights = fleet.serve_model(256 << 10, LIMIT).unwrap();
+    let weights = fleet.serve_model(256 << 10, TIMEOUT).unwrap();
     let orders = |fleet: &Fleet| fleet.engines.values().map(|e| e.counts().orders).sum::<u64>();
-    assert_eq!((fleet.replicas(weights), orders(&fleet)), (3, 3), "one order an engine");
+    assert_eq!(
+        (fleet.replicas(weights), orders(&fleet)),
+        (3, 3),
+        "not one replica and one load order per engine"
+    );
     fleet.stop();
 }
--- a/bench/tests/weights/rollout.rs
+++ b/bench/tests/weights/rollout.rs
@@ -13,11 +13,11 @@
 use mastichaven_standins::origin::random_weights;
 
 const MODEL_LEN: usize = 512 << 10;
-const LIMIT: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 const TOKENS: usize = 60;
 
-/// Sends one streamed request; gives the weights it was answered from.
-fn ask(fleet: &Fleet, n: usize) -> Result<String, String> {
+/// Sends one streaming request. Returns the weights that all tokens of its answer name.
+fn send_request(fleet: &Fleet, n: usize) -> Result<String, String> {
     let body = format!(
         r#"{{"model":"rota","stream":true,"max_tokens":{TOKENS},"messages":[{{"role":"user","content":"draft {n}"}}]}}"#
     );
@@ -36,42 +36,47 @@
         .lines()
         .filter_map(|line| line.split_once("\"weights\":\"")?.1.split('"').next())
         .collect();
-    let whole = weights.len() == TOKENS && text.trim_end().ends_with("[DONE]");
-    let same = weights.windows(2).all(|pair| pair[0] == pair[1]);
-    if whole && same { Ok(weights[0].to_owned()) } else { Err(format!("not whole: {text}")) }
+    let is_complete = weights.len() == TOKENS && text.trim_end().ends_with("[DONE]");
+    let is_same_version = weights.windows(2).all(|pair| pair[0] == pair[1]);
+    if is_complete && is_same_version {
+        Ok(weights[0].to_owned())
+    } else {
+        Err(format!("answer incomplete or of mixed versions: {text}"))
+    }
 }
 
-// Operators publish a new version while callers stream answers; one engine ignores its first
-// orders, another's answers to orders get lost. A caller would notice a gap as a refusal, a reload
-// under its request as a cut, and mixed weights as an answer that changes its mind half way.
+// A new version is published while callers stream answers. One engine ignores its initial orders,
+// and an answer of another engine to an order is lost. Without a ready replica a request would be
+// refused, a reload during a request would truncate its answer, and mixed versions would show as
+// tokens of different weights in one answer.
 #[test]
-fn publish_new_version_under_streams() {
+fn publish_new_version_during_streams() {
     let fleet = Fleet::start(&Layout::default()).unwrap();
-    let old = fleet.serve_model(MODEL_LEN, LIMIT).unwrap();
+    let old = fleet.serve_model(MODEL_LEN, TIMEOUT).unwrap();
     let bytes = random_weights(2, MODEL_LEN);
     let new = Digest::of(&bytes);
     let manifest = fleet.origin.put(&bytes, CHUNK_LEN);
-    let first = fleet.origin.put(&random_weights(1, MODEL_LEN), CHUNK_LEN);
-    let mut config = fleet.configuration(&first).unwrap();
+    let old_manifest = fleet.origin.put(&random_weights(1, MODEL_LEN), CHUNK_LEN);
+    let mut config = fleet.configuration(&old_manifest).unwrap();
     config.version.insert(
         "rota-2".into(),
         Version { model: "rota".into(), manifest: manifest.digest().to_hex().into() },
     );
     config.model.get_mut(&"rota".into()).unwrap().serve = "rota-2".into();
     let mut engines = fleet.engines.values();
-    let ignoring = engines.next().unwrap();
-    ignoring.ignore_orders(true);
+    let ignoring_engine = engines.next().unwrap();
+    ignoring_engine.ignore_orders(true);
     engines.next().unwrap().set_faults(|faults| faults.lose_order_answers = 1);
-    let over = AtomicBool::new(false);
+    let is_finished = AtomicBool::new(false);
     let answers = thread::scope(|scope| {
         let callers: Vec<_> = (0..6)
             .map(|caller| {
-                let (fleet, over) = (&fleet, &over);
+                let (fleet, is_finished) = (&fleet, &is_finished);
                 scope.spawn(move || {
                     let mut answers = Vec::new();
                     let mut n = caller;
-                    while !over.load(Ordering::Acquire) {
-                        answers.push(ask(fleet, n));
+                    while !is_finished.load(Ordering::Acquire) {
+                        answers.push(send_request(fleet, n));
                         n += 6;
                     }
                     answers
@@ -79,21 +84,26 @@
             })
             .collect();
         fleet.publish(&config).unwrap();
-        let most = wait_until(LIMIT, || fleet.replicas(new) + 1 >= fleet.engines.len());
-        ignoring.ignore_orders(false);
-        let all = wait_until(LIMIT, || fleet.replicas(new) == fleet.engines.len());
-        over.store(true, Ordering::Release);
+        let most_loaded = wait_until(TIMEOUT, || fleet.replicas(new) + 1 >= fleet.engines.len());
+        ignoring_engine.ignore_orders(false);
+        let all_loaded = wait_until(TIMEOUT, || fleet.replicas(new) == fleet.engines.len());
+        is_finished.store(true, Ordering::Release);
         let answers: Vec<_> = callers.into_iter().flat_map(|c| c.join().unwrap()).collect();
-        assert!(most.is_some() && all.is_some(), "{} replicas", fleet.replicas(new));
+        assert!(most_loaded.is_some() && all_loaded.is_some(), "{} replicas", fleet.replicas(new));
         answers
     });
-    let bad: Vec<_> = answers.iter().filter(|answer| answer.is_err()).collect();
-    assert!(bad.is_empty(), "{} of {}: {:?}", bad.len(), answers.len(), bad[0]);
-    let from = |weights: Digest| {
+    let failures: Vec<_> = answers.iter().filter(|answer| answer.is_err()).collect();
+    assert!(failures.is_empty(), "{} of {}: {:?}", failures.len(), answers.len(), failures[0]);
+    let count_from = |weights: Digest| {
         let hex = weights.to_hex();
         answers.iter().flatten().filter(|w| hex.starts_with(w.as_str())).count()
     };
-    assert!(from(old) > 0 && from(new) > 0, "{} and {}", from(old), from(new));
-    assert_eq!(from(old) + from(new), answers.len());
+    assert!(
+        count_from(old) > 0 && count_from(new) > 0,
+        "{} and {}",
+        count_from(old),
+        count_from(new)
+    );
+    assert_eq!(count_from(old) + count_from(new), answers.len());
     fleet.stop();
 }
