--- a/bench/src/weights/faults.rs
+++ b/bench/src/weights/faults.rs
@@ -50,7 +50,7 @@
             self.killed.contains(n) || (is_partitioned && location_of(*n).0 == PARTITIONED_ZONE)
         };
         let names = (0..self.count).filter(cut).map(|n| name_of(n).to_string());
-        run.origin.set_cut_off(names.collect());
+        run.origin.set_refused_hosts(names.collect());
     }
 
     pub(super) fn apply_due(&mut self, elapsed: Duration, run: &Run) {
