--- a/node/src/bin/mastichaven-ctl.rs
+++ b/node/src/bin/mastichaven-ctl.rs
@@ -1,4 +1,4 @@
-//! `mastichaven-ctl`: checks and publishes configuration, shows state, makes certificates.
+//! `mastichaven-ctl`: checks and publishes configuration, shows state and issues certificates.
 
 use std::fmt;
 use std::fs;
@@ -28,13 +28,13 @@
 use mastichaven_node::tls::DevelopmentCa;
 use mastichaven_node::tls::Role;
 
-/// Permissions of a private key's file.
-const KEY_MODE: u32 = 0o600;
+/// File mode of private keys: read and write for the owner only.
+const KEY_FILE_MODE: u32 = 0o600;
 
-/// Bytes of a customer's key at most.
-const MAX_KEY_LEN: u64 = 4_096;
+/// Maximum bytes of a customer's key.
+const MAX_KEY_BYTES: u64 = 4_096;
 
-/// Seconds a process may take to show its state.
+/// Seconds to wait for a process's dump.
 const DUMP_TIMEOUT_SECONDS: u64 = 5;
 
 /// Operators' tool of mastichaven.
@@ -123,7 +123,7 @@
     },
 }
 
-/// What a folder was made from.
+/// The base of the three-way merge that a publication uses.
 #[derive(Clone, Copy, Debug)]
 enum BaseChoice {
     File,
@@ -232,7 +232,7 @@
         }
         Arguments::KeyDigest => {
             let mut key = String::new();
-            io::stdin().take(MAX_KEY_LEN).read_to_string(&mut key).map_err(Failure::failed)?;
+            io::stdin().take(MAX_KEY_BYTES).read_to_string(&mut key).map_err(Failure::failed)?;
             println!("{}", Digest::of(key.trim().as_bytes()).to_hex());
         }
         Arguments::Certs { out, days, hosts } => make_certificates(&out, days, &hosts)?,
@@ -251,7 +251,7 @@
     let hosts: Vec<(Role, HostName)> = hosts
         .iter()
         .map(|host| {
-            scan_host(host).ok_or_else(|| {
+            parse_host(host).ok_or_else(|| {
                 Failure::refused(format!("{host}: E{} not ROLE:NAME", Code::BadArgument.number()))
             })
         })
@@ -268,14 +268,15 @@
     Ok(())
 }
 
-/// Writes a private key that its owner alone may read.
+/// Writes a private key with [`KEY_FILE_MODE`], replacing an older file.
 fn write_key(file: &Path, key: &str) -> io::Result<()> {
     let _ = fs::remove_file(file);
-    let mut f = fs::OpenOptions::new().create_new(true).write(true).mode(KEY_MODE).open(file)?;
+    let mut f =
+        fs::OpenOptions::new().create_new(true).write(true).mode(KEY_FILE_MODE).open(file)?;
     f.write_all(key.as_bytes())
 }
 
-fn scan_host(text: &str) -> Option<(Role, HostName)> {
+fn parse_host(text: &str) -> Option<(Role, HostName)> {
     let (role, name) = text.split_once(':')?;
     let role = match role {
         "entry" => Role::Entry,
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! Sockets, files, timers and threads round the decisions of `mastichaven-core`, and the programs
+//! Networking, storage, timers and threads around the logic of `mastichaven-core`, and the programs
 //! `mastichaven-entry`, `mastichaven-agent` and `mastichaven-ctl`.
 //!
 //! ```
--- a/node/src/process.rs
+++ b/node/src/process.rs
@@ -1,4 +1,4 @@
-//! What a program does once: its arguments, its incarnation, its signals and its exit code.
+//! Start and end of a program: arguments, incarnation, signals and exit code.
 
 use std::io;
 use std::panic;
@@ -19,101 +19,103 @@
 use signal_hook::consts::SIGUSR1;
 use signal_hook::iterator::Signals;
 
-/// Bits of an incarnation that are random.
+/// Number of low-order random bits of an incarnation.
 const RANDOM_BITS: u32 = 24;
 
-/// Columns of help texts.
-const HELP_WIDTH: usize = 100;
+/// Line width of help texts, in columns.
+const HELP_COLUMNS: usize = 100;
 
-/// A fresh incarnation: seconds of the wall clock above, random bits below.
+/// Creates an incarnation: Unix seconds in the high-order bits, random low-order bits.
 pub fn new_incarnation() -> Incarnation {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     let random = u64::from(rand::random::<u32>() >> (32 - RANDOM_BITS));
     Incarnation((now.as_secs() << RANDOM_BITS) | random)
 }
 
-/// Signals waiting to be acted on; more of the same kind add nothing.
-const SIGNAL_RING: usize = 4;
+/// Capacity of the queue of received signals; further ones are dropped, as a repeated signal adds
+/// nothing.
+const SIGNAL_QUEUE_LEN: usize = 4;
 
-/// What a signal asks for.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Asked {
+enum SignalAction {
     Stop,
     Dump,
 }
 
-/// The signals of this process.
+/// Receiver of the signals of this process.
 pub struct ProcessSignals {
-    rx: flume::Receiver<Asked>,
+    rx: flume::Receiver<SignalAction>,
 }
 
 impl ProcessSignals {
-    /// Blocks until SIGTERM or SIGINT has come; calls `dump` for each SIGUSR1 until then.
+    /// Blocks until SIGTERM or SIGINT arrives; calls `dump` for each SIGUSR1 until then.
     pub fn wait_for_stop(&self, dump: impl Fn()) {
-        while let Ok(Asked::Dump) = self.rx.recv() {
+        while let Ok(SignalAction::Dump) = self.rx.recv() {
             dump();
         }
     }
 }
 
-/// Catches SIGTERM, SIGINT and SIGUSR1; a second SIGTERM does not cut requests off either.
+/// Handles SIGTERM, SIGINT and SIGUSR1. The handler stays installed, so that a second SIGTERM does
+/// not abort requests in flight.
 pub fn signals() -> io::Result<ProcessSignals> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGUSR1])?;
-    let (tx, rx) = flume::bounded(SIGNAL_RING);
+    let (tx, rx) = flume::bounded(SIGNAL_QUEUE_LEN);
     thread::Builder::new().name("signals".to_owned()).spawn(move || {
         for signal in signals.forever() {
-            let asked = if signal == SIGUSR1 { Asked::Dump } else { Asked::Stop };
-            let _ = tx.try_send(asked);
+            let action = if signal == SIGUSR1 { SignalAction::Dump } else { SignalAction::Stop };
+            let _ = tx.try_send(action);
         }
     })?;
     Ok(ProcessSignals { rx })
 }
 
-/// Exit code when the arguments are wrong.
+/// Exit code for invalid arguments.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Exit code when settings or configuration are refused; trying again will not help.
+/// Exit code for rejected settings or configuration; a restart does not help.
 pub const EXIT_REFUSED: u8 = 3;
 
-/// Why a program ends without success.
+/// Why a program exits with an error.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// It failed at run time; it may work later.
+    /// A run-time failure; a restart may succeed.
     Failed(String),
-    /// Its settings or a configuration are refused.
+    /// Rejected settings or configuration; see [`EXIT_REFUSED`].
     Refused(String),
 }
 
 impl Failure {
-    /// A failure at run time.
+    /// Wraps the text of `error` as a run-time failure.
     pub fn failed(error: impl ToString) -> Failure {
         Failure::Failed(error.to_string())
     }
 
-    /// Settings or configuration that are refused.
+    /// Wraps the text of `error` as rejected settings or configuration.
     pub fn refused(error: impl ToString) -> Failure {
         Failure::Refused(error.to_string())
     }
 }
 
-/// The settings file: the one given, or the one that the platform's variable names.
+/// Returns the settings file: `given`, or else the value of the platform's environment variable.
 pub fn settings_file(given: Option<PathBuf>) -> std::result::Result<PathBuf, Failure> {
-    let named = || std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
+    let from_env = || std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
     let missing =
         || Failure::refused(format!("no settings file given, {SETTINGS_VARIABLE} not set"));
-    given.or_else(named).ok_or_else(missing)
+    given.or_else(from_env).ok_or_else(missing)
 }
 
-/// Runs a program whose tasks all share one thread.
+/// Runs a program whose tasks share one thread.
 ///
-/// A task that panics would leave the others running without it, for example without news of the
-/// configuration. So a panic ends the process, and whoever runs it starts it again.
+/// If one task panicked, the others would continue without it, for example without configuration
+/// updates. So a panic aborts the process, and its supervisor restarts it.
 pub fn run_local(
     program: impl Future<Output = io::Result<()>>,
 ) -> std::result::Result<(), Failure> {
-    let print = panic::take_hook();
+    let default_hook = panic::take_hook();
     panic::set_hook(Box::new(move |info| {
-        print(info);
+        default_hook(info);
         std::process::abort();
     }));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -121,10 +123,10 @@
     tokio::task::LocalSet::new().block_on(&runtime, program).map_err(Failure::failed)
 }
 
-/// Reads the command line, runs the program and gives its exit code.
+/// Parses the command line, runs the program and returns its exit code.
 ///
-/// 0: success, `--help` and `--version`; 1: failed at run time; 2: wrong arguments; 3: settings or
-/// configuration refused.
+/// 0: success, `--help` and `--version`; 1: run-time failure; 2: invalid arguments; 3: settings or
+/// configuration rejected.
 pub fn run_program<T>(
     name: &str,
     arguments: &OptionParser<T>,
@@ -133,7 +135,7 @@
     let parsed = match arguments.run_inner(Args::current_args()) {
         Ok(parsed) => parsed,
         Err(failure) => {
-            failure.print_message(HELP_WIDTH);
+            failure.print_message(HELP_COLUMNS);
             return match failure {
                 ParseFailure::Stderr(_) => EXIT_USAGE.into(),
                 ParseFailure::Stdout(..) | ParseFailure::Completion(_) => ExitCode::SUCCESS,
--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the programs: one TOML file each, unknown keys refused.
+//! Settings of the programs: one TOML file each; unknown keys are rejected.
 
 use std::fmt;
 use std::fs;
@@ -24,19 +24,19 @@
 /// Result of reading settings.
 pub type Result<T> = std::result::Result<T, SettingsError>;
 
-/// Bytes of a settings file at most; a longer one is not read.
+/// Maximum bytes of a settings file; a longer one is rejected.
 pub const MAX_FILE_LEN: u64 = 1 << 20;
 
-/// Why a settings file cannot be used.
+/// Error of a settings file, with its position.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SettingsError {
     /// The numbered code.
     pub code: Code,
-    /// The file.
+    /// Path as given on the command line.
     pub file: PathBuf,
-    /// The line, from 1; 0 when the file cannot be read.
+    /// The line, from 1; 0 if the file cannot be read.
     pub line: usize,
-    /// The key and what is wrong with it.
+    /// The key and the problem.
     pub detail: String,
 }
 
@@ -59,26 +59,26 @@
     pub ca: PathBuf,
 }
 
-/// What every process is told.
+/// Settings that every process has.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Place {
-    /// Its host.
+    /// Name of its host; certificates and the platform's list of hosts use the same.
     pub host: HostName,
     /// Its availability zone.
     pub zone: ZoneName,
     /// Its region.
     pub region: RegionName,
-    /// Where peers reach it (UDP).
+    /// Address to bind for peers (UDP).
     pub peers: SocketAddr,
-    /// Address that peers are told, where it differs from the bound one: behind an address
+    /// Address announced to peers if it differs from the bound one: behind network address
     /// translation, or bound to all addresses of the host.
     #[serde(default)]
     pub advertised: Option<SocketAddr>,
-    /// Where operators read health, state and metrics (TCP); loopback by default.
+    /// Address of the operators' port for health and state (TCP); loopback by default.
     #[serde(default = "default_operators")]
     pub operators: SocketAddr,
-    /// StatsD address; no metrics are sent when left out.
+    /// StatsD address; without it no metrics are sent.
     #[serde(default)]
     pub statsd: Option<SocketAddr>,
 }
@@ -87,28 +87,28 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Who and where it is.
+    /// Host, location and addresses.
     pub place: Place,
     /// TLS files.
     pub tls: TlsFiles,
-    /// Where callers send requests (TCP).
+    /// Address to bind for callers (TCP).
     pub callers: SocketAddr,
-    /// Addresses of peers to greet at start; the platform's list of hosts is read only while none
-    /// of them answers.
+    /// Addresses of peers to contact at start; the platform's list of hosts is read only while none
+    /// of them replies.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Milliseconds that a stop goes on serving after it reports not ready, so that the balancer
-    /// notices first.
+    /// Milliseconds that a stopping process keeps accepting requests after it reports not ready, so
+    /// that the load balancer notices first.
     #[serde(default)]
     pub notice_ms: u64,
     /// The platform's object API, such as `http://10.0.0.1:7000`.
     pub platform: String,
-    /// Milliseconds after which a stop cuts off what is left; waits for all when left out.
+    /// Milliseconds after which a stop aborts the remaining requests; without it, it waits for all.
     #[serde(default)]
     pub stop_deadline_ms: Option<u64>,
 }
 
-/// What stands beside an agent.
+/// The endpoint that an agent serves.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 #[serde(deny_unknown_fields, rename_all = "lowercase", tag = "kind")]
 pub enum EndpointSettings {
@@ -116,7 +116,7 @@
     Engine {
         /// Its base address, such as `http://127.0.0.1:5000`.
         address: String,
-        /// Requests it bears at once when warm; what this hardware has been measured to bear.
+        /// Concurrent requests that it sustains when warm, as measured on this hardware.
         #[serde(default = "default_concurrent")]
         concurrent: u32,
     },
@@ -124,7 +124,7 @@
     Plain {
         /// Its base address.
         address: String,
-        /// The service it is, as configured.
+        /// Name of its service in the configuration.
         service: ServiceName,
     },
 }
@@ -133,38 +133,38 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// Who and where it is.
+    /// Host, location and addresses.
     pub place: Place,
     /// TLS files.
     pub tls: TlsFiles,
-    /// The endpoint beside it.
+    /// The endpoint on its host.
     pub endpoint: EndpointSettings,
-    /// Addresses of peers to greet at start; the platform's list of hosts is read only while none
-    /// of them answers.
+    /// Addresses of peers to contact at start; the platform's list of hosts is read only while none
+    /// of them replies.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// The origin of weights, such as `http://10.0.0.2:7100`.
     pub origin: String,
     /// The platform's object API, read only while no peer is known.
     pub platform: String,
-    /// Bytes of chunks kept at most.
+    /// Maximum bytes of stored chunks.
     #[serde(default = "default_store_bytes")]
     pub store_bytes: u64,
-    /// Memory of the engine beside it, in MiB; it holds any model when left out.
+    /// Memory of the engine, in MiB; without it, any model is assumed to fit.
     #[serde(default)]
     pub memory_mib: u64,
-    /// Folder that keeps chunks across restarts; they are kept in memory when left out.
+    /// Folder that keeps chunks across restarts; without it, they are kept in memory.
     #[serde(default)]
     pub cache_folder: Option<PathBuf>,
-    /// Bytes a second that weights may fill of this host's outgoing link; half of it while live
-    /// requests run. Unlimited when left out.
+    /// Limit of outgoing weights traffic in bytes per second; half of it applies while requests run.
+    /// Unlimited if absent.
     #[serde(default)]
     pub link_bytes_per_second: Option<u64>,
-    /// The region the origin stands in. Hosts of this region alone pull from it, so that its bytes
-    /// do not cross a region link twice. When left out, hosts of every region do.
+    /// The region of the origin. Only hosts of this region download from it, so that its bytes do not
+    /// cross a link between regions twice. If absent, hosts of every region do.
     #[serde(default)]
     pub origin_region: Option<RegionName>,
-    /// Milliseconds after which a stop cuts off what is left; waits for all when left out.
+    /// Milliseconds after which a stop aborts the remaining requests; without it, it waits for all.
     #[serde(default)]
     pub stop_deadline_ms: Option<u64>,
 }
@@ -207,7 +207,7 @@
         return Err(error(Code::BadSyntax, line, e.message().replace('\n', ", ")));
     }
     let settings: T = toml::from_str(text).map_err(|e| {
-        let found = locate::find(text, e.message(), e.span().map_or(0, |span| span.start));
+        let found = locate::find_key(text, e.message(), e.span().map_or(0, |span| span.start));
         error(code_of(e.message()), found.line, format!("{}: {}", found.key, e.message()))
     })?;
     match settings.problem() {
--- a/node/tests/proof/files.rs
+++ b/node/tests/proof/files.rs
@@ -44,8 +44,8 @@
     ProptestConfig { cases, rng_seed: seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
-/// A refusal names a line of the file, so that an operator finds what to mend.
-fn assert_refused_with_line<T: Validate + DeserializeOwned>(text: &str) {
+/// A rejection must name a line of the file, so that an operator finds the mistake.
+fn assert_error_names_line<T: Validate + DeserializeOwned>(text: &str) {
     if let Err(error) = settings::parse::<T>(Path::new("settings.toml"), text) {
         let lines = text.matches('\n').count() + 1;
         assert!((1..=lines).contains(&error.line), "line {} of {lines}", error.line);
@@ -62,27 +62,27 @@
 proptest! {
     #![proptest_config(cases(2_000))]
 
-    /// An operator saves half a file, or another editor's format.
+    /// An operator saves a partial file, or one in another format.
     #[test]
-    fn parse_any_text(text in "(\\PC|\n){0,300}") {
-        assert_refused_with_line::<EntrySettings>(&text);
-        assert_refused_with_line::<AgentSettings>(&text);
+    fn parse_arbitrary_text(text in "(\\PC|\n){0,300}") {
+        assert_error_names_line::<EntrySettings>(&text);
+        assert_error_names_line::<AgentSettings>(&text);
     }
 
-    /// An operator mistypes one place of a file that was right.
+    /// An operator makes one mistake in a valid file.
     #[test]
-    fn parse_damaged_settings(at in any::<Index>(), len in 0_usize..20, with in "(\\PC|\n){0,8}") {
+    fn parse_corrupted_settings(at in any::<Index>(), len in 0_usize..20, with in "(\\PC|\n){0,8}") {
         let start = at.index(SETTINGS.len());
         let end = (start + len).min(SETTINGS.len());
         let mut text = SETTINGS.to_owned();
         text.replace_range(start..end, &with);
-        assert_refused_with_line::<EntrySettings>(&text);
+        assert_error_names_line::<EntrySettings>(&text);
     }
 
-    /// A peer or the platform hands on parts that are noise, or damaged in one byte. Nothing of
-    /// them is in force, and the configuration before them stands.
+    /// A peer or the platform sends parts that are random or corrupt in one byte. They must not be
+    /// applied, and the previous configuration stays in force.
     #[test]
-    fn offer_any_parts(
+    fn offer_config_with_corrupt_parts(
         noise in vec(any::<u8>(), 0..200),
         at in any::<Index>(),
         byte in any::<u8>(),
@@ -93,25 +93,25 @@
             let files = FileParts::from([("a.toml".into(), parts)]);
             FileList::default().with_files(&files, Generation(generation)).delta_since(Generation(0))
         };
-        let whole = Bytes::from(ZONE);
+        let zone_part = Bytes::from(ZONE);
         let first = documents.offer_config(&list("", 1), &[Bytes::new()]);
         assert_eq!(first, ApplyOutcome::Applied(vec![]));
-        let mut damaged = whole.to_vec();
-        let at = at.index(damaged.len());
-        damaged[at] = byte;
-        for bytes in [noise, damaged] {
-            let is_whole = bytes == whole;
+        let mut corrupted = zone_part.to_vec();
+        let at = at.index(corrupted.len());
+        corrupted[at] = byte;
+        for bytes in [noise, corrupted] {
+            let is_intact = bytes == zone_part;
             let offer = documents.offer_config(&list(ZONE, 2), &[bytes.into()]);
-            assert_eq!(matches!(offer, ApplyOutcome::MissingParts(_)), !is_whole);
-            assert_eq!(documents.generation() == Generation(2), is_whole);
+            assert_eq!(matches!(offer, ApplyOutcome::MissingParts(_)), !is_intact);
+            assert_eq!(documents.generation() == Generation(2), is_intact);
         }
     }
 }
 
-/// The folder holds a file that is not text at all, such as an editor's swap file under a wrong
-/// name. Publishing is refused with a code, and nothing is read halfway.
+/// The folder contains a binary file, such as an editor's swap file with a wrong name. Publishing must
+/// be rejected with a code, and no part of the file used.
 #[test]
-fn read_folder_not_text() {
+fn read_folder_with_binary_file() {
     let folder = folder("not-text");
     fs::write(folder.join("10-zones.toml"), b"[zone.a]\nregion = \"\xff\xfe\"\n").expect("written");
     let refused = publish::read_folder(&folder).and_then(|texts| publish::check(&texts));
@@ -119,9 +119,9 @@
     fs::remove_dir_all(&folder).expect("removed");
 }
 
-/// Values nested ten thousand deep would overflow the stack of a reader without a bound.
+/// Values nested 10,000 levels deep would overflow the stack of a parser without a depth limit.
 #[test]
-fn parse_deep_nesting() {
+fn parse_deeply_nested_value() {
     const DEPTH: usize = 10_000;
     let text = format!("{SETTINGS}a = {}{}", "[".repeat(DEPTH), "]".repeat(DEPTH));
     assert!(settings::parse::<EntrySettings>(Path::new("settings.toml"), &text).is_err());
--- a/node/tests/proof/hostile.rs
+++ b/node/tests/proof/hostile.rs
@@ -1,4 +1,4 @@
-//! A server that answers anything.
+//! A server that sends malformed or endless responses.
 
 use std::io::Read;
 use std::io::Write;
@@ -9,53 +9,53 @@
 use std::sync::atomic::Ordering;
 use std::thread;
 
-/// Bytes after which an endless answer ends, so that a reader without a bound fails the test
-/// rather than the machine.
+/// Bytes after which an endless response ends, so that an unbounded reader fails the test instead of
+/// exhausting the machine's memory.
 pub const ENDLESS_LEN: u64 = 96 << 20;
 
-/// What the server does with each connection.
+/// Response to each connection.
 #[derive(Clone, Debug)]
-pub enum Manner {
+pub enum ResponseKind {
     /// Sends these bytes and closes.
     Bytes(Vec<u8>),
-    /// Sends these bytes as a head and then a body without an end.
+    /// Sends these bytes as a head, then an endless body.
     Endless(Vec<u8>),
 }
 
-/// A running server; it lasts until the test's process ends.
-pub struct Hostile {
+/// A running server; it is never stopped.
+pub struct HostileServer {
     pub base: String,
     sent: Arc<AtomicU64>,
 }
 
-impl Hostile {
-    pub fn start(manner: Manner) -> Hostile {
+impl HostileServer {
+    pub fn start(kind: ResponseKind) -> HostileServer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
         let base = format!("http://{}", listener.local_addr().expect("it is bound"));
         let sent = Arc::new(AtomicU64::new(0));
         let counted = sent.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                answer(stream, &manner, &counted);
+                respond(stream, &kind, &counted);
             }
         });
-        Hostile { base, sent }
+        HostileServer { base, sent }
     }
 
-    /// Bytes of bodies without an end that were taken off the server so far.
+    /// Bytes of endless bodies sent so far.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Acquire)
     }
 }
 
-fn answer(mut stream: TcpStream, manner: &Manner, sent: &AtomicU64) {
+fn respond(mut stream: TcpStream, kind: &ResponseKind, sent: &AtomicU64) {
     let mut buf = vec![0; 64 << 10];
     let _ = stream.read(&mut buf);
-    match manner {
-        Manner::Bytes(bytes) => {
+    match kind {
+        ResponseKind::Bytes(bytes) => {
             let _ = stream.write_all(bytes);
         }
-        Manner::Endless(head) => {
+        ResponseKind::Endless(head) => {
             let _ = stream.write_all(head);
             let mut left = ENDLESS_LEN;
             while left > 0 && stream.write_all(&buf).is_ok() {
--- a/node/tests/proof/main.rs
+++ b/node/tests/proof/main.rs
@@ -1,4 +1,4 @@
-//! Hostile bytes against the adapters and readers of the node, from fixed seeds.
+//! Malformed input to the node's HTTP adapters and file parsers, from fixed seeds.
 
 mod files;
 mod hostile;
--- a/node/tests/proof/servers.rs
+++ b/node/tests/proof/servers.rs
@@ -13,21 +13,21 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::hostile::ENDLESS_LEN;
-use crate::hostile::Hostile;
-use crate::hostile::Manner;
+use crate::hostile::HostileServer;
+use crate::hostile::ResponseKind;
 
-/// Answers tried by `calls_any_answer`.
-const ANSWERS: usize = 300;
+/// Number of responses that `calls_with_malformed_response` tries.
+const RESPONSES: usize = 300;
 
-fn endless() -> Hostile {
-    Hostile::start(Manner::Endless(b"HTTP/1.1 200 OK\r\netag: 1\r\n\r\n".to_vec()))
+fn start_endless() -> HostileServer {
+    HostileServer::start(ResponseKind::Endless(b"HTTP/1.1 200 OK\r\netag: 1\r\n\r\n".to_vec()))
 }
 
-/// The platform, the origin or an engine answers without an end. A process that reads on until its
-/// host's memory is gone takes every caller's request there with it.
+/// The platform, the origin or an engine sends an start_endless response. An unbounded reader would exhaust
+/// its host's memory and fail all requests there.
 #[test]
-fn calls_endless_answer() {
-    let server = endless();
+fn calls_with_endless_response() {
+    let server = start_endless();
     let store = HttpStore::new(&server.base);
     let errors = [PlatformError::Malformed, PlatformError::Unknown];
     assert!(errors.contains(&store.get("config/accepted").map(drop).unwrap_err()));
@@ -40,23 +40,23 @@
     assert!(server.sent() < ENDLESS_LEN, "{} bytes were taken", server.sent());
 }
 
-/// The platform's connection breaks in the middle of an object. Half a claim or half a
-/// configuration that is taken for the whole would be acted on and nobody would notice.
+/// The platform's connection closes in the middle of an object. Half a claim or half a configuration
+/// would be used as if complete, without any sign of it.
 #[test]
 fn get_truncated_object() {
-    let answer = b"HTTP/1.1 200 OK\r\netag: 7\r\ncontent-length: 1000\r\n\r\n{\"zone\":{}}";
-    let server = Hostile::start(Manner::Bytes(answer.to_vec()));
+    let response = b"HTTP/1.1 200 OK\r\netag: 7\r\ncontent-length: 1000\r\n\r\n{\"zone\":{}}";
+    let server = HostileServer::start(ResponseKind::Bytes(response.to_vec()));
     let store = HttpStore::new(&server.base);
     assert_eq!(store.get("config/accepted"), Err(PlatformError::Unknown));
 }
 
-/// Something else listens where the platform, the origin or the engine should, and answers
-/// anything: no HTTP, half a head, other types. Each call ends with one of its numbered errors.
+/// Another server listens at the address of the platform, the origin or the engine and sends no HTTP,
+/// half a head or other types. Each call must return one of its numbered errors.
 #[test]
-fn calls_any_answer() {
-    for seed in 0..ANSWERS {
+fn calls_with_malformed_response() {
+    for seed in 0..RESPONSES {
         let mut rng = ChaCha8Rng::seed_from_u64(seed as u64);
-        let server = Hostile::start(Manner::Bytes(any_answer(&mut rng)));
+        let server = HostileServer::start(ResponseKind::Bytes(malformed_response(&mut rng)));
         let store = HttpStore::new(&server.base);
         let _ = store.get("config/accepted").map_err(|e| e.code().number());
         let _ = store.list("plan/").map_err(|e| e.code().number());
@@ -70,7 +70,7 @@
     }
 }
 
-fn any_answer(rng: &mut ChaCha8Rng) -> Vec<u8> {
+fn malformed_response(rng: &mut ChaCha8Rng) -> Vec<u8> {
     const HEADS: [&[u8]; 6] = [
         b"",
         b"HTTP/1.1 200 OK\r\n\r\n",
@@ -86,10 +86,10 @@
         b"{\"start_id\":1e300,\"loaded\":{},\"running\":-1}",
         b"[{\"name\":\"a\",\"role\":\"entry\",\"address\":\"nowhere\"}]",
     ];
-    let mut answer = HEADS[rng.random_range(0..HEADS.len())].to_vec();
-    answer.extend(BODIES[rng.random_range(0..BODIES.len())]);
+    let mut response = HEADS[rng.random_range(0..HEADS.len())].to_vec();
+    response.extend(BODIES[rng.random_range(0..BODIES.len())]);
     let noise = rng.random_range(0..200);
-    answer.extend((0..noise).map(|_| rng.random::<u8>()));
-    answer.truncate(rng.random_range(0..=answer.len()));
-    answer
+    response.extend((0..noise).map(|_| rng.random::<u8>()));
+    response.truncate(rng.random_range(0..=response.len()));
+    response
 }
--- a/node/tests/shell/examples.rs
+++ b/node/tests/shell/examples.rs
@@ -1,4 +1,4 @@
-//! The example deployments, as a new user finds them.
+//! The example deployments and the pages that refer to them.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -22,9 +22,9 @@
 
 const NAMES: [&str; 2] = ["associacao", "skyline"];
 
-/// Bytes of the example models and of their chunks, as the walk-through starts the origin.
-const MODEL_LEN: usize = 4 << 20;
-const CHUNK_LEN: u32 = 64 << 10;
+/// Bytes of the example models and of their chunks, as the documented walk-through creates them.
+const MODEL_BYTES: usize = 4 << 20;
+const CHUNK_BYTES: u32 = 64 << 10;
 
 fn examples() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples")
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn folders_declare_deployments_of_today() {
-    let runners = [("associacao", 14), ("skyline", 9)];
-    for (name, replicas) in runners {
+fn example_folders_declare_documented_deployments() {
+    let deployments = [("associacao", 14), ("skyline", 9)];
+    for (name, replicas) in deployments {
         let config = config(name);
         assert_eq!(config.zone.len(), 3, "{name}");
         assert_eq!(config.customer.len(), 10, "{name}");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn versions_are_those_of_the_walk_through() {
+fn example_versions_match_walkthrough_weights() {
     let seeds = [
         ("associacao", "rota-2026-03", 1),
         ("associacao", "rota-2026-02", 2),
@@ -63,13 +63,13 @@
         ("skyline", "summary-2026-04", 4),
     ];
     for (name, version, seed) in seeds {
-        let manifest = Manifest::from_weights(&random_weights(seed, MODEL_LEN), CHUNK_LEN);
+        let manifest = Manifest::from_weights(&random_weights(seed, MODEL_BYTES), CHUNK_BYTES);
         let declared = config(name).version[&version.into()].clone();
         assert_eq!(declared.manifest, manifest.digest().to_hex(), "{version}");
     }
 }
 
-fn assert_placed(name: &str, place: &Place, role: HostRole, hosts: &[ListedHost]) {
+fn assert_location_matches(name: &str, place: &Place, role: HostRole, hosts: &[ListedHost]) {
     let listed = hosts.iter().find(|listed| listed.name == place.host).expect("the host is listed");
     assert_eq!((listed.role, &listed.zone, &listed.region), (role, &place.zone, &place.region));
     assert_eq!(listed.address, place.peers);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn settings_fit_hosts_and_configuration() {
+fn example_settings_match_hosts_and_config() {
     for name in NAMES {
         let folder = examples().join("settings").join(name);
         let hosts = fs::read(folder.join("hosts.json")).unwrap();
@@ -90,10 +90,10 @@
             let host = HostName::new(file.file_stem().unwrap().to_str().unwrap());
             if host.as_str().starts_with("entry-") {
                 let entry: EntrySettings = settings::load(&file).unwrap();
-                assert_placed(name, &entry.place, HostRole::Entry, &hosts);
+                assert_location_matches(name, &entry.place, HostRole::Entry, &hosts);
             } else {
                 let agent: AgentSettings = settings::load(&file).unwrap();
-                assert_placed(name, &agent.place, HostRole::Agent, &hosts);
+                assert_location_matches(name, &agent.place, HostRole::Agent, &hosts);
                 if let EndpointSettings::Plain { service, .. } = &agent.endpoint {
                     assert!(config(name).service.contains_key(service), "{service}");
                 }
@@ -106,8 +106,8 @@
 }
 
 #[test]
-fn architecture_names_files_that_exist() {
-    // A newcomer follows the page into the code. A file that was renamed would end the walk.
+fn architecture_page_names_existing_files() {
+    // A renamed file would leave a dead reference in the page.
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let page = fs::read_to_string(root.join("docs/ARCHITECTURE.md")).unwrap();
     let named: BTreeSet<&str> =
--- a/node/tests/shell/programs.rs
+++ b/node/tests/shell/programs.rs
@@ -14,7 +14,7 @@
     Command::new(program).args(arguments).output().unwrap()
 }
 
-fn scratch(name: &str) -> PathBuf {
+fn create_temp_folder(name: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).unwrap();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn arguments_decide_exit_code() {
+fn exit_code_reflects_arguments() {
     for program in [ENTRY, AGENT, CTL] {
         for shown in ["--help", "--version"] {
             let output = run(program, &[shown]);
@@ -36,10 +36,10 @@
 }
 
 #[test]
-fn refused_settings_end_with_place_of_fault() {
-    // A settings file has a mistake. The supervisor sees an exit code that tells it not to try
-    // again, the operator sees file, line, code and key.
-    let file = scratch("refused").join("agent.toml");
+fn invalid_settings_exit_code_and_message() {
+    // A settings file has a mistake. The exit code tells the supervisor not to restart, and the
+    // message gives the operator file, line, code and key.
+    let file = create_temp_folder("refused").join("agent.toml");
     fs::write(&file, "origin = 1\n").unwrap();
     let output = run(AGENT, &[file.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(3));
@@ -48,8 +48,8 @@
 }
 
 #[test]
-fn certs_writes_keys_for_owner_alone() {
-    let folder = scratch("certs");
+fn certs_writes_owner_only_keys() {
+    let folder = create_temp_folder("certs");
     let out = folder.to_str().unwrap();
     let output = run(CTL, &["certs", "--out", out, "entry:entry-1", "agent:agent-1"]);
     assert_eq!(output.status.code(), Some(0), "{output:?}");
--- a/node/tests/shell/settings.rs
+++ b/node/tests/shell/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is refused, and where it says the fault is.
+//! Settings files: rejected values, the reported position, and the documented keys and defaults.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -51,15 +51,15 @@
 service = "booking"
 "#;
 
-fn refused<T: Validate + DeserializeOwned>(text: &str) -> String {
+fn parse_error<T: Validate + DeserializeOwned>(text: &str) -> String {
     let settings = settings::parse::<T>(Path::new("x.toml"), text);
     settings.err().map_or_else(|| panic!("accepted: {text}"), |error| error.to_string())
 }
 
 #[test]
-fn parse_refusals_name_line_code_and_key() {
-    // An operator mistypes a setting. The process ends with the place of the fault, instead of
-    // running with a default that nobody asked for.
+fn parse_entry_errors_name_line_code_and_key() {
+    // An operator mistypes a setting. The process must exit and report the position instead of running
+    // with an unintended default.
     let cases = [
         ("zone = \"lagoa\"", "zone = 7", "x.toml:6: E203 place.zone: invalid type"),
         ("zone =", "zoen =", "x.toml:6: E201 place.zoen: unknown field"),
@@ -73,13 +73,13 @@
     ];
     assert!(settings::parse::<EntrySettings>(Path::new("x.toml"), ENTRY).is_ok());
     for (old, new, expected) in cases {
-        let error = refused::<EntrySettings>(&ENTRY.replacen(old, new, 1));
+        let error = parse_error::<EntrySettings>(&ENTRY.replacen(old, new, 1));
         assert!(error.starts_with(expected), "{new:?} gave {error}");
     }
 }
 
 #[test]
-fn parse_agent_refusals_name_line_code_and_key() {
+fn parse_agent_errors_name_line_code_and_key() {
     let cases = [
         ("\"engine\"", "\"motor\"", "x.toml:16: E203 endpoint.kind: unknown variant"),
         ("address =", "adress =", "x.toml:17: E201 endpoint.adress: unknown field"),
@@ -87,25 +87,25 @@
     ];
     assert!(settings::parse::<AgentSettings>(Path::new("x.toml"), AGENT).is_ok());
     for (old, new, expected) in cases {
-        let error = refused::<AgentSettings>(&AGENT.replacen(old, new, 1));
+        let error = parse_error::<AgentSettings>(&AGENT.replacen(old, new, 1));
         assert!(error.starts_with(expected), "{new:?} gave {error}");
     }
 }
 
 #[test]
-fn load_of_missing_file_is_refused() {
+fn load_of_missing_file_is_unreadable() {
     let error = settings::load::<EntrySettings>(Path::new("/nonexistent.toml")).unwrap_err();
     assert_eq!((error.code, error.line), (Code::Unreadable, 0));
 }
 
-/// The keys that a table takes, as the parser lists them when it refuses another one.
-fn keys_of<T: Validate + DeserializeOwned>(text: &str) -> BTreeSet<String> {
-    let error = refused::<T>(text);
+/// The keys of a table, as the parser lists them when it rejects an unknown key.
+fn accepted_keys<T: Validate + DeserializeOwned>(text: &str) -> BTreeSet<String> {
+    let error = parse_error::<T>(text);
     let (_, expected) = error.split_once("expected").unwrap();
     expected.split('`').skip(1).step_by(2).map(str::to_owned).collect()
 }
 
-/// Rows of the tables under each heading of the page: key and default.
+/// Key and default of each table row, by heading of the page.
 fn documented() -> BTreeMap<String, BTreeMap<String, String>> {
     let page = include_str!("../../../docs/CONFIGURATION.md");
     let mut tables: BTreeMap<String, BTreeMap<String, String>> = BTreeMap::new();
@@ -126,18 +126,18 @@
 }
 
 #[test]
-fn documented_keys_equal_the_code() {
+fn documented_keys_match_parser() {
     let unknown = |text: &str| format!("unknown_key = 1\n{text}");
     let in_table = |text: &str, table: &str| {
         text.replacen(&format!("[{table}]"), &format!("[{table}]\nunknown_key = 1"), 1)
     };
     let plain = AGENT.split_once("[endpoint]").unwrap().0.to_owned() + "[endpoint]" + PLAIN;
     let tables = [
-        ("entry", keys_of::<EntrySettings>(&unknown(ENTRY))),
-        ("agent", keys_of::<AgentSettings>(&unknown(AGENT))),
-        ("place", keys_of::<EntrySettings>(&in_table(ENTRY, "place"))),
-        ("tls", keys_of::<EntrySettings>(&in_table(ENTRY, "tls"))),
-        ("endpoint", keys_of::<AgentSettings>(&in_table(&plain, "endpoint"))),
+        ("entry", accepted_keys::<EntrySettings>(&unknown(ENTRY))),
+        ("agent", accepted_keys::<AgentSettings>(&unknown(AGENT))),
+        ("place", accepted_keys::<EntrySettings>(&in_table(ENTRY, "place"))),
+        ("tls", accepted_keys::<EntrySettings>(&in_table(ENTRY, "tls"))),
+        ("endpoint", accepted_keys::<AgentSettings>(&in_table(&plain, "endpoint"))),
     ];
     let documented = documented();
     for (table, mut keys) in tables {
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn documented_defaults_equal_the_code() {
+fn documented_defaults_match_parser() {
     let documented = documented();
     let default_of = |table: &str| -> Vec<(String, String)> {
         let rows = documented[table].iter();
--- a/node/tests/shell/telemetry.rs
+++ b/node/tests/shell/telemetry.rs
@@ -1,4 +1,4 @@
-//! Metrics as a server receives them.
+//! Metrics as a StatsD server receives them.
 
 use std::net::UdpSocket;
 use std::time::Duration;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn documented_metrics_equal_the_code() {
+fn documented_metrics_match_code() {
     let page = include_str!("../../../docs/CONFIGURATION.md");
     let names = |kind: &str| -> Vec<String> {
         let row = |line: &str| {
--- a/node/tests/shell/walkthrough.rs
+++ b/node/tests/shell/walkthrough.rs
@@ -1,4 +1,4 @@
-//! The programs as processes, from certificates to a stop in the middle of an answer.
+//! The programs as processes, from certificates to a shutdown with a response in flight.
 
 use std::fs;
 use std::io::BufRead;
@@ -27,10 +27,10 @@
 
 use crate::ANY;
 
-/// Far longer than any step takes, also on a busy machine.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Bounds each step, with a wide margin for a busy machine.
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A program under test; ended when dropped.
+/// A running program under test; killed on drop.
 struct Process {
     child: Child,
     log: BufReader<ChildStderr>,
@@ -50,7 +50,7 @@
         Process { child, log }
     }
 
-    /// The next log line that contains `text`.
+    /// Reads the log up to the next line that contains `text`.
     fn read_log(&mut self, text: &str) -> String {
         let mut line = String::new();
         while !line.contains(text) {
@@ -65,7 +65,8 @@
         assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
     }
 
-    /// Waits for its end and gives its exit code. The log is read meanwhile, so that it cannot fill.
+    /// Waits for the exit code. The log is read meanwhile, so that the pipe cannot fill up and block
+    /// the process.
     fn exit_code(mut self) -> Option<i32> {
         let mut rest = String::new();
         while self.log.read_line(&mut rest).unwrap() > 0 {
@@ -130,11 +131,11 @@
     ListedHost { name: host.into(), role, zone, region, address, leaving: false }
 }
 
-fn ask(callers: SocketAddr, tokens: usize) -> BufReader<TcpStream> {
+fn send_chat_request(callers: SocketAddr, tokens: usize) -> BufReader<TcpStream> {
     let body =
         format!("{{\"model\":\"rota\",\"stream\":true,\"max_tokens\":{tokens},\"messages\":[]}}");
     let mut stream = TcpStream::connect(callers).unwrap();
-    stream.set_read_timeout(Some(LIMIT)).unwrap();
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     write!(
         stream,
         "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nmastichaven-key: key\r\n\
@@ -154,7 +155,7 @@
 }
 
 fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + LIMIT;
+    let end = Instant::now() + STEP_TIMEOUT;
     while !done() {
         assert!(Instant::now() < end, "never {what}");
         thread::sleep(Duration::from_millis(20));
@@ -167,9 +168,9 @@
 }
 
 #[test]
-fn programs_stop_after_the_answer_in_progress() {
-    // An operator stops an agent and an entry while a caller reads an answer. Both are no longer
-    // ready at once, and still the caller gets the whole answer.
+fn shutdown_completes_response_in_flight() {
+    // An operator stops an agent and an entry while a caller reads a response. Both must report not
+    // ready at once, and the caller must still get the complete response.
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("walkthrough");
     let _ = fs::remove_dir_all(&folder);
     ctl(&["certs", "--out", folder.to_str().unwrap(), "entry:entry-1", "agent:agent-1"]);
@@ -195,7 +196,7 @@
     let callers = address_in(&entry_log, "callers");
     wait_until("answered", || {
         let mut status = String::new();
-        ask(callers, 1).read_line(&mut status).unwrap();
+        send_chat_request(callers, 1).read_line(&mut status).unwrap();
         status.contains("200")
     });
 
@@ -206,7 +207,7 @@
     }
 
     engine.set_faults(|faults| faults.freeze_after = Some(3));
-    let mut answer = ask(callers, 6);
+    let mut answer = send_chat_request(callers, 6);
     read_to(&mut answer, "t2 ");
     let operators = [address_in(&entry_log, "operators"), address_in(&agent_log, "operators")];
     assert!(operators.iter().all(|address| is_ready(*address)));
