--- a/node/tests/proof/files.rs
+++ b/node/tests/proof/files.rs
@@ -82,7 +82,7 @@
     /// A peer or the platform sends parts that are random or corrupt in one byte. They must not be
     /// applied, and the previous configuration stays in force.
     #[test]
-    fn offer_config_with_corrupt_parts(
+    fn apply_config_with_corrupt_parts(
         noise in vec(any::<u8>(), 0..200),
         at in any::<Index>(),
         byte in any::<u8>(),
@@ -94,15 +94,15 @@
             FileList::default().with_files(&files, Generation(generation)).delta_since(Generation(0))
         };
         let zone_part = Bytes::from(ZONE);
-        let first = documents.offer_config(&list("", 1), &[Bytes::new()]);
+        let first = documents.apply_config(&list("", 1), &[Bytes::new()]);
         assert_eq!(first, ApplyOutcome::Applied(vec![]));
         let mut corrupted = zone_part.to_vec();
         let at = at.index(corrupted.len());
         corrupted[at] = byte;
         for bytes in [noise, corrupted] {
             let is_intact = bytes == zone_part;
-            let offer = documents.offer_config(&list(ZONE, 2), &[bytes.into()]);
-            assert_eq!(matches!(offer, ApplyOutcome::MissingParts(_)), !is_intact);
+            let outcome = documents.apply_config(&list(ZONE, 2), &[bytes.into()]);
+            assert_eq!(matches!(outcome, ApplyOutcome::MissingParts(_)), !is_intact);
             assert_eq!(documents.generation() == Generation(2), is_intact);
         }
     }
