--- a/bench/src/bookings.rs
+++ b/bench/src/bookings.rs
@@ -1,5 +1,5 @@
-//! Bookings that may not be repeated, sent again and again while everything fails. The plain
-//! service's own count of runs is the judge.
+//! Resends non-idempotent bookings under injected faults and checks the responses against the run
+//! counts of the plain service.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,176 +26,184 @@
 use crate::fleet::Result;
 use crate::fleet::wait_until;
 
-/// Callers that book side by side.
+/// Number of concurrent callers.
 const CALLERS: usize = 24;
 
-/// Milliseconds a caller waits for an answer, as it tells the entry.
+/// Deadline that a caller sends to the entry.
 const DEADLINE_MS: u64 = 4_000;
 
-/// Seconds after which a caller hangs up; short, so that some leave while their booking runs.
-const HANG_UP_SECONDS: u64 = 2;
+/// Client timeout; shorter than [`DEADLINE_MS`], so that some callers disconnect while their booking
+/// runs.
+const CALL_TIMEOUT_SECONDS: u64 = 2;
 
-/// Sendings of one keyed booking at most.
-const MAX_SENDINGS: usize = 40;
+/// Maximum number of requests for one keyed booking.
+const MAX_SENDS: usize = 40;
 
-/// Pause before a booking is sent again.
-const PAUSE: Duration = Duration::from_millis(100);
+const RESEND_DELAY: Duration = Duration::from_millis(100);
 
-/// Every booking whose number divides by this is sent without a key, and once only.
-const UNKEYED: usize = 8;
+/// Bookings whose number is a multiple of this have no idempotency key and are sent once.
+const UNKEYED_INTERVAL: usize = 8;
 
-/// What to run.
+/// Options of the experiment.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
-    /// Bookings.
+pub struct Options {
+    /// Number of distinct bookings to send.
     pub bookings: usize,
-    /// Seed of the faults and of the callers' choices.
+    /// Seed of the faults and of the callers' random choices.
     pub seed: u64,
-    /// Whether anything fails.
+    /// Whether faults are injected.
     pub faults: bool,
 }
 
-/// What came of it.
+/// Result of the experiment.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// Bookings with a final answer.
+    /// Bookings with a final response.
     pub answered: usize,
-    /// Bookings told `ran`.
+    /// Bookings whose last response was `ran`.
     pub ran: usize,
-    /// Bookings told `not-run` last.
+    /// Bookings whose last response was `not-run`.
     pub not_run: usize,
-    /// Bookings told `unknown` last.
+    /// Bookings whose last response was `unknown`.
     pub unknown: usize,
-    /// Bookings without a key whose entry died; nobody is left to answer them.
+    /// Bookings without a key that got no response, because their entry crashed.
     pub entry_died: usize,
-    /// Sendings of all bookings.
+    /// Requests sent for all bookings, resends included.
     pub sendings: usize,
-    /// Faults induced.
+    /// Faults injected.
     pub faults: usize,
     /// Bookings that ran more than once. Must be 0.
     pub ran_twice: usize,
-    /// Bookings told `not-run` last that ran. Must be 0.
+    /// Bookings that ran although their last response was `not-run`. Must be 0.
     pub not_run_but_ran: usize,
-    /// Bookings told `ran` that did not. Must be 0.
+    /// Bookings that did not run although their last response was `ran`. Must be 0.
     pub ran_but_did_not: usize,
-    /// Bookings whose sendings got differing answers. Must be 0.
+    /// Bookings whose successful responses differ in their bodies. Must be 0.
     pub answers_differ: usize,
-    /// Keyed bookings without any answer after all sendings. Must be 0.
+    /// Keyed bookings without any response after all resends. Must be 0.
     pub unanswered: usize,
-    /// Platform reads a booking for claims, without faults; with faults of the whole fleet.
+    /// Platform reads per booking above the idle rate: those for claims in a run without faults, those
+    /// of the whole fleet in a run with faults.
     pub platform_reads_per_booking: f64,
-    /// Platform writes a booking.
+    /// Platform writes per booking above the idle rate.
     pub platform_writes_per_booking: f64,
-    /// Median and 99th percentile of a sending that was answered, in milliseconds.
+    /// Median and 99th percentile of the response time in milliseconds. Requests without a response
+    /// are left out.
     pub answer_ms: [f64; 2],
-    /// Seconds it took.
+    /// Duration of the run in seconds.
     pub seconds: f64,
 }
 
 impl Report {
-    /// Whether nothing broke a promise.
+    /// Whether all counts that must be 0 are 0.
     pub fn is_clean(&self) -> bool {
-        let broken = [
+        let violations = [
             self.ran_twice,
             self.not_run_but_ran,
             self.ran_but_did_not,
             self.answers_differ,
             self.unanswered,
         ];
-        broken.iter().sum::<usize>() == 0
+        violations.iter().sum::<usize>() == 0
     }
 }
 
-/// What one booking was told.
+/// Responses to the requests of one booking.
 #[derive(Debug, Default)]
-struct Told {
-    keyed: bool,
-    sendings: usize,
-    last: Option<String>,
-    answers: Vec<String>,
+struct BookingResult {
+    is_keyed: bool,
+    sends: usize,
+    last_outcome: Option<String>,
+    /// Bodies of the responses with outcome `ran`.
+    bodies: Vec<String>,
 }
 
 struct Experiment {
     fleet: RwLock<Fleet>,
-    plan: Plan,
-    next: AtomicUsize,
-    over: AtomicBool,
-    told: Mutex<HashMap<String, Told>>,
-    millis: Mutex<hdrhistogram::Histogram<u64>>,
+    options: Options,
+    next_booking: AtomicUsize,
+    callers_done: AtomicBool,
+    results: Mutex<HashMap<String, BookingResult>>,
+    response_us: Mutex<hdrhistogram::Histogram<u64>>,
 }
 
-/// Runs the bookings.
-pub fn run(plan: Plan) -> Result<Report> {
+/// Sends all bookings and checks their responses.
+pub fn run(options: Options) -> Result<Report> {
     let layout = Layout { entries: 2, engines: 0, plain_agents: 3, ..Layout::default() };
     let fleet = Fleet::start(&layout)?;
     fleet.publish(&configuration()?)?;
     let warm = wait_until(Duration::from_secs(20), || {
         fleet.entries.values().all(|entry| send(entry.callers_addr(), "warm", None).is_ok())
     });
-    warm.ok_or("no entry answers")?;
-    let idle = idle_calls(&fleet);
+    warm.ok_or("not every entry responded in time")?;
+    let idle = idle_call_rates(&fleet);
     let before = fleet.platform.calls();
     let experiment = Experiment {
         fleet: RwLock::new(fleet),
-        plan,
-        next: AtomicUsize::new(0),
-        over: AtomicBool::new(false),
-        told: Mutex::default(),
-        millis: Mutex::new(hdrhistogram::Histogram::new(3).map_err(|e| e.to_string())?),
+        options,
+        next_booking: AtomicUsize::new(0),
+        callers_done: AtomicBool::new(false),
+        results: Mutex::default(),
+        response_us: Mutex::new(hdrhistogram::Histogram::new(3).map_err(|e| e.to_string())?),
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let faults = thread::scope(|scope| {
-        let faults = scope.spawn(|| experiment.break_things());
+        let faults = scope.spawn(|| experiment.inject_faults());
         let callers: Vec<_> = (0..CALLERS)
             .map(|n| {
                 scope.spawn({
                     let e = &experiment;
-                    move || e.call(n)
+                    move || e.run_caller(n)
                 })
             })
             .collect();
         for caller in callers {
             let _ = caller.join();
         }
-        experiment.over.store(true, Ordering::Release);
+        experiment.callers_done.store(true, Ordering::Release);
         faults.join().unwrap_or_default()
     });
-    let mut report = Report { faults, seconds: begun.elapsed().as_secs_f64(), ..Report::default() };
+    let mut report =
+        Report { faults, seconds: started.elapsed().as_secs_f64(), ..Report::default() };
     let fleet = experiment.fleet.into_inner().map_err(|e| e.to_string())?;
     let calls = fleet.platform.calls();
-    let per = |after: u64, before: u64, idle: f64| {
-        ((after - before) as f64 - idle * report.seconds).max(0.0) / plan.bookings as f64
+    let per_booking = |after: u64, before: u64, idle: f64| {
+        ((after - before) as f64 - idle * report.seconds).max(0.0) / options.bookings as f64
     };
-    let reads = per(calls.reads, before.reads, idle[0]);
-    let writes = per(calls.writes, before.writes, idle[1]);
+    let reads = per_booking(calls.reads, before.reads, idle[0]);
+    let writes = per_booking(calls.writes, before.writes, idle[1]);
     report.platform_reads_per_booking = reads;
     report.platform_writes_per_booking = writes;
-    // A call that was cut off may still be under way at the service.
+    // A request whose caller disconnected may still be in flight at the service.
     thread::sleep(Duration::from_millis(500));
-    let told = experiment.told.into_inner().map_err(|e| e.to_string())?;
-    judge(&mut report, &told, &fleet.plain.runs());
-    let millis = experiment.millis.into_inner().map_err(|e| e.to_string())?;
-    report.answer_ms = [0.5, 0.99].map(|q| millis.value_at_quantile(q) as f64 / 1_000.0);
+    let results = experiment.results.into_inner().map_err(|e| e.to_string())?;
+    check_results(&mut report, &results, &fleet.plain.runs());
+    let response_us = experiment.response_us.into_inner().map_err(|e| e.to_string())?;
+    report.answer_ms = [0.5, 0.99].map(|q| response_us.value_at_quantile(q) as f64 / 1_000.0);
     fleet.stop();
     Ok(report)
 }
 
-/// Platform reads and writes a second that the fleet makes without any booking.
-fn idle_calls(fleet: &Fleet) -> [f64; 2] {
-    let (begun, before) = (Instant::now(), fleet.platform.calls());
+/// Platform reads and writes per second of the fleet without any booking.
+fn idle_call_rates(fleet: &Fleet) -> [f64; 2] {
+    let (started, before) = (Instant::now(), fleet.platform.calls());
     thread::sleep(Duration::from_secs(1));
-    let (after, seconds) = (fleet.platform.calls(), begun.elapsed().as_secs_f64());
+    let (after, seconds) = (fleet.platform.calls(), started.elapsed().as_secs_f64());
     [(after.reads - before.reads) as f64 / seconds, (after.writes - before.writes) as f64 / seconds]
 }
 
-fn judge(report: &mut Report, told: &HashMap<String, Told>, runs: &HashMap<String, u32>) {
-    for (booking, told) in told {
+fn check_results(
+    report: &mut Report,
+    results: &HashMap<String, BookingResult>,
+    runs: &HashMap<String, u32>,
+) {
+    for (booking, result) in results {
         let runs = runs.get(booking).copied().unwrap_or(0);
-        report.sendings += told.sendings;
+        report.sendings += result.sends;
         report.ran_twice += usize::from(runs > 1);
-        let differ = told.answers.windows(2).any(|pair| pair[0] != pair[1]);
+        let differ = result.bodies.windows(2).any(|pair| pair[0] != pair[1]);
         report.answers_differ += usize::from(differ);
-        match told.last.as_deref() {
+        match result.last_outcome.as_deref() {
             Some("ran") => {
                 report.ran += 1;
                 report.ran_but_did_not += usize::from(runs == 0);
@@ -205,32 +213,31 @@
                 report.not_run_but_ran += usize::from(runs > 0);
             }
             Some(_) => report.unknown += 1,
-            None if told.keyed => report.unanswered += 1,
+            None if result.is_keyed => report.unanswered += 1,
             None => report.entry_died += 1,
         }
-        report.answered += usize::from(told.last.is_some());
+        report.answered += usize::from(result.last_outcome.is_some());
     }
 }
 
-/// An answer to one sending.
-struct Answered {
+struct BookingResponse {
     outcome: String,
     status: u16,
     body: String,
 }
 
-fn send(to: SocketAddr, booking: &str, key: Option<&str>) -> Result<Answered> {
+fn send(to: SocketAddr, booking: &str, key: Option<&str>) -> Result<BookingResponse> {
     let mut request = minreq::post(format!("http://{to}/book"))
         .with_header("mastichaven-key", CUSTOMER_KEY)
         .with_header("mastichaven-deadline-ms", DEADLINE_MS.to_string())
         .with_body(booking)
-        .with_timeout(HANG_UP_SECONDS);
+        .with_timeout(CALL_TIMEOUT_SECONDS);
     if let Some(key) = key {
         request = request.with_header("idempotency-key", key);
     }
     let response = request.send().map_err(|e| e.to_string())?;
     let header = |name| response.header(name).unwrap_or_default();
-    Ok(Answered {
+    Ok(BookingResponse {
         outcome: header("mastichaven-outcome").to_owned(),
         status: response.status_code,
         body: response.as_str().map_err(|e| e.to_string())?.to_owned(),
@@ -238,61 +245,62 @@
 }
 
 impl Experiment {
-    fn call(&self, caller: usize) {
-        let mut rng = ChaCha8Rng::seed_from_u64(self.plan.seed ^ (caller as u64 + 1));
+    fn run_caller(&self, caller: usize) {
+        let mut rng = ChaCha8Rng::seed_from_u64(self.options.seed ^ (caller as u64 + 1));
         loop {
-            let n = self.next.fetch_add(1, Ordering::Relaxed);
-            if n >= self.plan.bookings {
+            let n = self.next_booking.fetch_add(1, Ordering::Relaxed);
+            if n >= self.options.bookings {
                 return;
             }
             let booking = format!("pen-{n}");
-            let told = self.book(&booking, !n.is_multiple_of(UNKEYED), &mut rng);
-            self.told.lock().expect("no holder of this lock panics").insert(booking, told);
+            let result = self.send_booking(&booking, !n.is_multiple_of(UNKEYED_INTERVAL), &mut rng);
+            self.results.lock().expect("no holder of this lock panics").insert(booking, result);
         }
     }
 
-    fn book(&self, booking: &str, keyed: bool, rng: &mut ChaCha8Rng) -> Told {
-        let mut told = Told { keyed, ..Told::default() };
-        // One more sending after a final answer shows that a resend gets the same one.
-        let mut resend_after_answer = keyed && rng.random_bool(0.1);
-        while told.sendings < MAX_SENDINGS {
+    fn send_booking(&self, booking: &str, is_keyed: bool, rng: &mut ChaCha8Rng) -> BookingResult {
+        let mut result = BookingResult { is_keyed, ..BookingResult::default() };
+        // A resend after a final response checks that it gets the same response.
+        let mut resend_after_success = is_keyed && rng.random_bool(0.1);
+        while result.sends < MAX_SENDS {
             let to =
                 self.fleet.read().expect("no holder panics").callers_addr(rng.random_range(0..64));
-            let begun = Instant::now();
-            let answered = send(to, booking, keyed.then_some(booking));
-            told.sendings += 1;
-            if let Ok(answered) = answered {
-                let micros = begun.elapsed().as_micros() as u64;
-                let _ = self.millis.lock().expect("no holder panics").record(micros);
-                let is_ran = answered.outcome == "ran" && answered.status == 200;
-                told.last = Some(answered.outcome);
-                if is_ran {
-                    told.answers.push(answered.body);
-                    if !std::mem::take(&mut resend_after_answer) {
-                        return told;
+            let started = Instant::now();
+            let response = send(to, booking, is_keyed.then_some(booking));
+            result.sends += 1;
+            if let Ok(response) = response {
+                let micros = started.elapsed().as_micros() as u64;
+                let _ = self.response_us.lock().expect("no holder panics").record(micros);
+                let has_run = response.outcome == "ran" && response.status == 200;
+                result.last_outcome = Some(response.outcome);
+                if has_run {
+                    result.bodies.push(response.body);
+                    if !std::mem::take(&mut resend_after_success) {
+                        return result;
                     }
                     continue;
                 }
             }
-            if !keyed {
-                return told;
+            if !is_keyed {
+                return result;
             }
-            let gives_up = told.last.is_some() && rng.random_bool(0.1);
-            if gives_up {
-                return told;
+            let is_abandoned = result.last_outcome.is_some() && rng.random_bool(0.1);
+            if is_abandoned {
+                return result;
             }
-            thread::sleep(PAUSE);
+            thread::sleep(RESEND_DELAY);
         }
-        told
+        result
     }
 
-    /// Breaks one thing after the other, and mends it, until the callers are done.
-    fn break_things(&self) -> usize {
-        let mut rng = ChaCha8Rng::seed_from_u64(self.plan.seed);
+    /// Injects one fault after the other until the callers are done, then clears the platform faults.
+    /// Returns the number of faults.
+    fn inject_faults(&self) -> usize {
+        let mut rng = ChaCha8Rng::seed_from_u64(self.options.seed);
         let mut faults = 0;
-        while self.plan.faults && !self.over.load(Ordering::Acquire) {
+        while self.options.faults && !self.callers_done.load(Ordering::Acquire) {
             thread::sleep(Duration::from_millis(rng.random_range(50..250)));
-            self.break_one(&mut rng);
+            self.inject_fault(&mut rng);
             faults += 1;
         }
         let fleet = self.fleet.read().expect("no holder panics");
@@ -300,8 +308,8 @@
         faults
     }
 
-    fn break_one(&self, rng: &mut ChaCha8Rng) {
-        let pause = Duration::from_millis(rng.random_range(100..1_500));
+    fn inject_fault(&self, rng: &mut ChaCha8Rng) {
+        let outage = Duration::from_millis(rng.random_range(100..1_500));
         let read = || self.fleet.read().expect("no holder panics");
         match rng.random_range(0..8) {
             0 => read().plain.set_faults(|faults| faults.crash_before_run = 3),
@@ -310,12 +318,12 @@
             3 => read().platform.set_faults(|faults| faults.lose_answers = 5),
             4 => {
                 read().platform.set_faults(|faults| faults.down = true);
-                thread::sleep(pause);
+                thread::sleep(outage);
                 read().platform.set_faults(|faults| faults.down = false);
             }
             5 => {
                 read().cut_from_platform("serra", true);
-                thread::sleep(pause);
+                thread::sleep(outage);
                 read().cut_from_platform("serra", false);
             }
             6 => self.restart(&format!("agent-booking-{}", rng.random_range(0..3))),
@@ -331,13 +339,13 @@
         let mut fleet = self.fleet.write().expect("no holder panics");
         fleet.crash_host(&host);
         if let Err(error) = fleet.start_host(&host) {
-            eprintln!("{host} does not start again: {error}");
+            eprintln!("cannot restart {host}: {error}");
         }
         fleet.list();
     }
 }
 
-/// The configuration that bookings run under.
+/// Three zones in two regions, one customer, and the plain service `booking` routed from `/book`.
 pub fn configuration() -> Result<Config> {
     let text = format!(
         r#"
--- a/bench/src/main.rs
+++ b/bench/src/main.rs
@@ -6,7 +6,7 @@
 
 use bpaf::Bpaf;
 use mastichaven_bench::bookings;
-use mastichaven_bench::bookings::Plan;
+use mastichaven_bench::bookings::Options;
 use mastichaven_bench::capacity;
 use mastichaven_bench::demo;
 use mastichaven_bench::demo::DemoLimits;
@@ -120,7 +120,7 @@
 fn main() -> ExitCode {
     let result = match arguments().run() {
         Arguments::Bookings { bookings, seed, quiet, json } => {
-            run_bookings(Plan { bookings, seed, faults: !quiet }, json.as_deref())
+            run_bookings(Options { bookings, seed, faults: !quiet }, json.as_deref())
         }
         Arguments::Load { seconds, json } => run_load(seconds, json.as_deref()),
         Arguments::Demo { json } => demo::run(DemoLimits::default(), json.as_deref()),
@@ -145,8 +145,8 @@
     }
 }
 
-fn run_bookings(plan: Plan, json: Option<&Path>) -> Result<(), String> {
-    let report = bookings::run(plan)?;
+fn run_bookings(options: Options, json: Option<&Path>) -> Result<(), String> {
+    let report = bookings::run(options)?;
     show(&report, json)?;
     if report.is_clean() { Ok(()) } else { Err("a promise was broken".to_owned()) }
 }
