--- a/bench/src/bookings.rs
+++ b/bench/src/bookings.rs
@@ -341,7 +341,7 @@
         if let Err(error) = fleet.start_host(&host) {
             eprintln!("cannot restart {host}: {error}");
         }
-        fleet.list();
+        fleet.publish_hosts();
     }
 }
 
--- a/bench/src/faults/round.rs
+++ b/bench/src/faults/round.rs
@@ -196,11 +196,11 @@
             Fault::PoisonRequest => self.poison(),
             Fault::ConnectionsSilent => {
                 self.lose(host);
-                self.world.fleet.ways[host].forget_connections();
+                self.world.fleet.peer_proxies[host].forget_connections();
             }
             Fault::LinkStalls => {
                 self.lose(host);
-                self.world.fleet.ways[host].set_cut(true);
+                self.world.fleet.peer_proxies[host].set_cut(true);
             }
             Fault::ZoneOffAll => self.cut_zone(active.zone),
             _ => {}
@@ -286,9 +286,9 @@
         let agents = fleet.agents.iter().map(|(host, agent)| (host, agent.peers_addr()));
         let (inside, outside): (Vec<_>, Vec<_>) =
             entries.chain(agents).partition(|(host, _)| fleet.zone_of(host) == Some(zone));
-        for (host, way) in &fleet.ways {
+        for (host, proxy) in &fleet.peer_proxies {
             let others = if fleet.zone_of(host) == Some(zone) { &outside } else { &inside };
-            way.set_cut_peers(others.iter().map(|(_, address)| *address));
+            proxy.set_cut_peers(others.iter().map(|(_, address)| *address));
         }
         for host in fleet.agents.keys() {
             self.lose(host);
@@ -318,7 +318,7 @@
         self.world.forget(host);
         self.world.recorder.invoke(Process::Operator(0), Op::Stop(host.clone()));
         let fleet = &mut self.world.fleet;
-        fleet.unlist(host, true);
+        fleet.unlist_host(host, true);
         let (entry, agent) = (fleet.entries.remove(host), fleet.agents.remove(host));
         let operators = entry.as_ref().map(Entry::operators_addr);
         let operators = operators.or(agent.as_ref().map(Agent::operators_addr));
@@ -351,14 +351,14 @@
         for (zone, _) in ZONES {
             fleet.cut_from_platform(zone, false);
         }
-        for way in fleet.ways.values() {
-            way.set_cut(false);
-            way.set_cut_peers([]);
+        for proxy in fleet.peer_proxies.values() {
+            proxy.set_cut(false);
+            proxy.set_cut_peers([]);
         }
         for active in std::mem::take(&mut self.active) {
             self.mend_one(&active)?;
         }
-        self.world.fleet.list();
+        self.world.fleet.publish_hosts();
         self.world.refresh();
         Ok(())
     }
--- a/bench/src/faults/world.rs
+++ b/bench/src/faults/world.rs
@@ -129,7 +129,7 @@
             engines: 2,
             plain_agents: 2,
             origin_rate: 40e6,
-            ways: true,
+            peer_proxies: true,
             ..Layout::default()
         };
         let fleet = Fleet::start(&layout)?;
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A small fleet in one process: stand-ins, entries and agents over loopback sockets, each of which
-//! can be stopped, crashed and started again.
+//! A small fleet in one process: stand-ins, entries and agents over loopback sockets. Each entry and
+//! agent can be stopped, crashed and restarted.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,41 +32,41 @@
 use mastichaven_standins::Platform;
 use mastichaven_standins::origin::random_weights;
 
-/// Result of running a fleet.
+/// Result with an error message for the operator.
 pub type Result<T> = std::result::Result<T, String>;
 
-/// The key of a fleet's customer, whose digest the configuration names.
+/// API key of the fleet's customer; the configuration contains its digest.
 pub const CUSTOMER_KEY: &str = "demo-key";
 
-/// Bytes of a chunk of a fleet's model.
+/// Chunk size of the fleet's model in bytes.
 pub const CHUNK_LEN: u32 = 64 << 10;
 
-const ANY: &str = "127.0.0.1:0";
+const ANY_PORT: &str = "127.0.0.1:0";
 
-/// How often a wait looks again.
-const WAIT_POLL: Duration = Duration::from_millis(20);
+/// How often [`wait_until`] checks its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a fleet is laid out.
+/// Size and settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct Layout {
-    /// Availability zones and their regions.
+    /// Names of the availability zones, each with its region.
     pub zones: Vec<(&'static str, &'static str)>,
-    /// Entries in each zone.
+    /// Number of entries in each zone.
     pub entries: usize,
-    /// Model engines in each zone.
+    /// Number of model engines in each zone, each with an agent.
     pub engines: usize,
-    /// How the engines behave.
+    /// Limits and timings of the engines.
     pub profile: EngineProfile,
-    /// Agents beside the one plain service, `booking`, in the zones in turn.
+    /// Number of agents in front of the one plain service, `booking`, spread over the zones in turn.
     pub plain_agents: usize,
-    /// Bytes a second of the origin's link.
+    /// Link rate of the origin in bytes per second.
     pub origin_rate: f64,
-    /// Further lines of each agent's settings, at the top level of the file.
+    /// Additional lines at the top level of each agent's settings.
     pub agent_settings: String,
-    /// Further lines of each entry's settings, at the top level of the file.
+    /// Additional lines at the top level of each entry's settings.
     pub entry_settings: String,
-    /// Whether peers reach each process through a way of its own that can fail.
-    pub ways: bool,
+    /// Whether peers reach each process through a datagram proxy that can drop traffic.
+    pub peer_proxies: bool,
 }
 
 impl Default for Layout {
@@ -80,34 +80,34 @@
             origin_rate: 4e6,
             agent_settings: String::new(),
             entry_settings: String::new(),
-            ways: false,
+            peer_proxies: false,
         }
     }
 }
 
-/// Where a host stands and what stands beside it.
+/// Role, location and endpoint of a host.
 #[derive(Clone, Debug)]
-struct Seat {
+struct HostSetup {
     role: HostRole,
     zone: &'static str,
     region: &'static str,
-    /// Table `endpoint` of an agent's settings.
+    /// Table `endpoint` of an agent's settings; empty for an entry.
     endpoint: String,
 }
 
 /// A running fleet.
 pub struct Fleet {
-    /// The platform.
+    /// Stand-in of the platform.
     pub platform: Platform,
-    /// The address of the platform that each zone uses.
-    pub doors: BTreeMap<&'static str, Door>,
-    /// Ways of the peers to each host, when the layout asks for them.
-    pub ways: BTreeMap<HostName, DatagramDoor>,
-    /// The origin of weights.
+    /// Proxy through which each zone reaches the platform.
+    pub platform_proxies: BTreeMap<&'static str, Door>,
+    /// Datagram proxy in front of each host; empty unless [`Layout::peer_proxies`] is set.
+    pub peer_proxies: BTreeMap<HostName, DatagramDoor>,
+    /// Stand-in of the origin of weights.
     pub origin: Origin,
-    /// Engines, by host.
+    /// Stand-ins of the engines, by the host of their agent.
     pub engines: BTreeMap<HostName, Engine>,
-    /// The plain service.
+    /// Stand-in of the plain service.
     pub plain: Plain,
     /// Running entries, by host.
     pub entries: BTreeMap<HostName, Entry>,
@@ -115,60 +115,62 @@
     pub agents: BTreeMap<HostName, Agent>,
     layout: Layout,
     ca: DevelopmentCa,
-    seats: BTreeMap<HostName, Seat>,
+    host_setups: BTreeMap<HostName, HostSetup>,
     listed: BTreeMap<HostName, ListedHost>,
 }
 
 impl Fleet {
-    /// Starts everything and lists the hosts on the platform.
+    /// Starts the stand-ins and all hosts and registers the hosts with the platform.
     pub fn start(layout: &Layout) -> Result<Fleet> {
-        let platform = Platform::start(ANY).map_err(text)?;
-        let mut doors = BTreeMap::new();
+        let platform = Platform::start(ANY_PORT).map_err(error_text)?;
+        let mut platform_proxies = BTreeMap::new();
         for &(zone, _) in &layout.zones {
-            doors.insert(zone, platform.open_door(ANY).map_err(text)?);
+            platform_proxies.insert(zone, platform.open_door(ANY_PORT).map_err(error_text)?);
         }
         let mut fleet = Fleet {
             platform,
-            doors,
-            ways: BTreeMap::new(),
-            origin: Origin::start(ANY, layout.origin_rate).map_err(text)?,
+            platform_proxies,
+            peer_proxies: BTreeMap::new(),
+            origin: Origin::start(ANY_PORT, layout.origin_rate).map_err(error_text)?,
             engines: BTreeMap::new(),
-            plain: Plain::start(ANY, 1).map_err(text)?,
+            plain: Plain::start(ANY_PORT, 1).map_err(error_text)?,
             entries: BTreeMap::new(),
             agents: BTreeMap::new(),
             layout: layout.clone(),
-            ca: DevelopmentCa::generate().map_err(text)?,
-            seats: BTreeMap::new(),
+            ca: DevelopmentCa::generate().map_err(error_text)?,
+            host_setups: BTreeMap::new(),
             listed: BTreeMap::new(),
         };
-        fleet.lay_out()?;
-        for host in fleet.seats.keys().cloned().collect::<Vec<_>>() {
+        fleet.set_up_hosts()?;
+        for host in fleet.host_setups.keys().cloned().collect::<Vec<_>>() {
             fleet.start_host(&host)?;
         }
-        fleet.list();
+        fleet.publish_hosts();
         Ok(fleet)
     }
 
-    /// Decides where each host stands and starts the engines.
-    fn lay_out(&mut self) -> Result<()> {
+    /// Determines the setup of each host and starts the engines.
+    fn set_up_hosts(&mut self) -> Result<()> {
         let layout = self.layout.clone();
         for (index, &(zone, region)) in layout.zones.iter().enumerate() {
             for n in 0..layout.entries {
                 let endpoint = String::new();
-                let seat = Seat { role: HostRole::Entry, zone, region, endpoint };
-                self.seats.insert(HostName::new(format!("entry-{zone}-{n}")), seat);
+                let setup = HostSetup { role: HostRole::Entry, zone, region, endpoint };
+                self.host_setups.insert(HostName::new(format!("entry-{zone}-{n}")), setup);
             }
             for n in 0..layout.engines {
                 let host = HostName::new(format!("agent-{zone}-{n}"));
                 let start_id = (index * 100_000 + n * 100) as u64;
-                let engine = Engine::start(ANY, layout.profile, start_id).map_err(text)?;
+                let engine =
+                    Engine::start(ANY_PORT, layout.profile, start_id).map_err(error_text)?;
                 let endpoint = format!(
                     "kind = \"engine\"\naddress = \"{}\"\nconcurrent = {}\n",
                     engine.base(),
                     layout.profile.warm_limit
                 );
                 self.engines.insert(host.clone(), engine);
-                self.seats.insert(host, Seat { role: HostRole::Agent, zone, region, endpoint });
+                self.host_setups
+                    .insert(host, HostSetup { role: HostRole::Agent, zone, region, endpoint });
             }
         }
         for n in 0..layout.plain_agents {
@@ -177,29 +179,31 @@
                 "kind = \"plain\"\naddress = \"{}\"\nservice = \"booking\"\n",
                 self.plain.base()
             );
-            let seat = Seat { role: HostRole::Agent, zone, region, endpoint };
-            self.seats.insert(HostName::new(format!("agent-booking-{n}")), seat);
+            let setup = HostSetup { role: HostRole::Agent, zone, region, endpoint };
+            self.host_setups.insert(HostName::new(format!("agent-booking-{n}")), setup);
         }
         Ok(())
     }
 
-    /// Starts a host's process, in a new life if it ran before. [`Fleet::list`] tells the platform.
+    /// Starts the process of a host with a new incarnation. The platform sees it after
+    /// [`Fleet::publish_hosts`].
     pub fn start_host(&mut self, host: &HostName) -> Result<()> {
-        let seat = self.seats.get(host).ok_or_else(|| format!("no host {host}"))?.clone();
-        if self.layout.ways && !self.ways.contains_key(host) {
-            self.ways.insert(host.clone(), DatagramDoor::open(ANY).map_err(text)?);
+        let setup = self.host_setups.get(host).ok_or_else(|| format!("no host {host}"))?.clone();
+        if self.layout.peer_proxies && !self.peer_proxies.contains_key(host) {
+            self.peer_proxies
+                .insert(host.clone(), DatagramDoor::open(ANY_PORT).map_err(error_text)?);
         }
-        let bound = match seat.role {
-            HostRole::Entry => self.start_entry(host, &seat)?,
-            HostRole::Agent => self.start_agent(host, &seat)?,
+        let bound = match setup.role {
+            HostRole::Entry => self.start_entry(host, &setup)?,
+            HostRole::Agent => self.start_agent(host, &setup)?,
         };
-        let way = self.ways.get(host).inspect(|way| way.lead_to(bound));
-        let address = way.map_or(bound, DatagramDoor::address);
+        let proxy = self.peer_proxies.get(host).inspect(|proxy| proxy.lead_to(bound));
+        let address = proxy.map_or(bound, DatagramDoor::address);
         let listed = ListedHost {
             name: host.clone(),
-            role: seat.role,
-            zone: seat.zone.into(),
-            region: seat.region.into(),
+            role: setup.role,
+            zone: setup.zone.into(),
+            region: setup.region.into(),
             address,
             leaving: false,
         };
@@ -207,54 +211,58 @@
         Ok(())
     }
 
-    fn start_entry(&mut self, host: &HostName, seat: &Seat) -> Result<SocketAddr> {
-        let material = self.ca.material(host, Role::Entry).map_err(text)?;
+    fn start_entry(&mut self, host: &HostName, setup: &HostSetup) -> Result<SocketAddr> {
+        let material = self.ca.material(host, Role::Entry).map_err(error_text)?;
         let settings = format!(
-            "callers = \"{ANY}\"\nplatform = \"{}\"\n{}\n{}",
-            self.doors[seat.zone].base(),
+            "callers = \"{ANY_PORT}\"\nplatform = \"{}\"\n{}\n{}",
+            self.platform_proxies[setup.zone].base(),
             self.layout.entry_settings,
-            self.common_settings(host, seat)
+            self.common_settings(host, setup)
         );
-        let settings = settings::parse(Path::new("entry"), &settings).map_err(text)?;
+        let settings = settings::parse(Path::new("entry"), &settings).map_err(error_text)?;
         let entry = Entry::start(settings, &material, Telemetry::silent(), new_incarnation())
-            .map_err(text)?;
+            .map_err(error_text)?;
         let address = entry.peers_addr();
         self.entries.insert(host.clone(), entry);
         Ok(address)
     }
 
-    fn start_agent(&mut self, host: &HostName, seat: &Seat) -> Result<SocketAddr> {
-        let material = self.ca.material(host, Role::Agent).map_err(text)?;
+    fn start_agent(&mut self, host: &HostName, setup: &HostSetup) -> Result<SocketAddr> {
+        let material = self.ca.material(host, Role::Agent).map_err(error_text)?;
         let settings = format!(
             "origin = \"{}\"\nplatform = \"{}\"\n{}\n{}[endpoint]\n{}",
             self.origin.base(),
-            self.doors[seat.zone].base(),
+            self.platform_proxies[setup.zone].base(),
             self.layout.agent_settings,
-            self.common_settings(host, seat),
-            seat.endpoint
+            self.common_settings(host, setup),
+            setup.endpoint
         );
-        let settings = settings::parse(Path::new("agent"), &settings).map_err(text)?;
+        let settings = settings::parse(Path::new("agent"), &settings).map_err(error_text)?;
         let agent = Agent::start(settings, &material, Telemetry::silent(), new_incarnation())
-            .map_err(text)?;
+            .map_err(error_text)?;
         let address = agent.peers_addr();
         self.agents.insert(host.clone(), agent);
         Ok(address)
     }
 
-    /// The tables `place` and `tls`; the files are not read here.
-    fn common_settings(&self, host: &HostName, seat: &Seat) -> String {
-        let way = self.ways.get(host).map(|way| format!("advertised = \"{}\"\n", way.address()));
+    /// The tables `place` and `tls`. The TLS files are never read, since the material is passed directly.
+    fn common_settings(&self, host: &HostName, setup: &HostSetup) -> String {
+        let proxy = self
+            .peer_proxies
+            .get(host)
+            .map(|proxy| format!("advertised = \"{}\"\n", proxy.address()));
         format!(
-            "[place]\nhost = \"{host}\"\nzone = \"{}\"\nregion = \"{}\"\npeers = \"{ANY}\"\n\
-             operators = \"{ANY}\"\n{}\
+            "[place]\nhost = \"{host}\"\nzone = \"{}\"\nregion = \"{}\"\npeers = \"{ANY_PORT}\"\n\
+             operators = \"{ANY_PORT}\"\n{}\
              [tls]\ncertificate = \"unread\"\nkey = \"unread\"\nca = \"unread\"\n",
-            seat.zone,
-            seat.region,
-            way.unwrap_or_default()
+            setup.zone,
+            setup.region,
+            proxy.unwrap_or_default()
         )
     }
 
-    /// Stops a host's process gracefully and waits until it has ended. The platform still lists it.
+    /// Stops the process of a host gracefully and waits until it has ended. The platform still lists
+    /// the host.
     pub fn stop_host(&mut self, host: &HostName) {
         if let Some(entry) = self.entries.remove(host) {
             entry.stop();
@@ -264,8 +272,8 @@
         }
     }
 
-    /// Ends a host's process as a crash does: no goodbye, whatever it did is cut off. The platform
-    /// still lists it.
+    /// Ends the process of a host as a crash does: without notice to peers, and with requests in
+    /// flight aborted. The platform still lists the host.
     pub fn crash_host(&mut self, host: &HostName) {
         if let Some(entry) = self.entries.remove(host) {
             entry.crash();
@@ -275,8 +283,8 @@
         }
     }
 
-    /// Takes a host off the platform's list, or marks it as leaving there.
-    pub fn unlist(&mut self, host: &HostName, leaving: bool) {
+    /// Marks a host as leaving in the platform's list if `leaving` is set, else removes it.
+    pub fn unlist_host(&mut self, host: &HostName, leaving: bool) {
         if leaving {
             if let Some(listed) = self.listed.get_mut(host) {
                 listed.leaving = true;
@@ -284,32 +292,32 @@
         } else {
             self.listed.remove(host);
         }
-        self.list();
+        self.publish_hosts();
     }
 
-    /// Shows the platform the hosts that have been started.
-    pub fn list(&self) {
+    /// Sets the platform's list of hosts to the ones started and not removed.
+    pub fn publish_hosts(&self) {
         self.platform.set_hosts(self.listed.values().cloned().collect());
     }
 
-    /// Cuts a zone off the platform, or joins it again.
+    /// Partitions a zone from the platform, or reconnects it.
     pub fn cut_from_platform(&self, zone: &str, cut: bool) {
-        self.doors[zone].set_cut(cut);
+        self.platform_proxies[zone].set_cut(cut);
     }
 
-    /// The zone a host stands in.
+    /// The zone of a host; `None` if the fleet has no such host.
     pub fn zone_of(&self, host: &HostName) -> Option<&'static str> {
-        self.seats.get(host).map(|seat| seat.zone)
+        self.host_setups.get(host).map(|setup| setup.zone)
     }
 
-    /// Where callers reach the `n`th entry, counted round.
+    /// Address for callers of entry `n` modulo the number of running entries.
     pub fn callers_addr(&self, n: usize) -> SocketAddr {
         let mut entries = self.entries.values();
         entries.nth(n % self.entries.len()).expect("a fleet has entries").callers_addr()
     }
 
-    /// A configuration in which all engines serve model `rota` at one version, and the plain
-    /// service `booking` is routed to.
+    /// A configuration that serves model `rota` at one version from all engines and routes to the
+    /// plain service `booking`.
     pub fn configuration(&self, manifest: &Manifest) -> Result<Config> {
         let zones: String = self
             .layout
@@ -317,7 +325,7 @@
             .iter()
             .map(|(zone, region)| format!("[zone.{zone}]\nregion = \"{region}\"\n"))
             .collect();
-        let rest = format!(
+        let tables = format!(
             r#"
             [customer.coop]
             key_digest = "{key}"
@@ -345,26 +353,26 @@
             manifest = manifest.digest().to_hex(),
             replicas = self.engines.len(),
         );
-        toml::from_str(&(zones + &rest)).map_err(text)
+        toml::from_str(&(zones + &tables)).map_err(error_text)
     }
 
-    /// Puts a model of `len` random bytes into the origin, publishes
-    /// [`Fleet::configuration`] for it and waits until every engine answers from it and every
-    /// entry passes requests on. Gives the digest of its weights.
+    /// Puts a model of `len` random bytes into the origin, publishes [`Fleet::configuration`] for it
+    /// and waits until every engine has loaded it and every entry routes requests to it. Each of the
+    /// two waits is bounded by `limit`. Returns the digest of the weights.
     pub fn serve_model(&self, len: usize, limit: Duration) -> Result<Digest> {
         let bytes = random_weights(1, len);
         let weights = Digest::of(&bytes);
         let manifest = self.origin.put(&bytes, CHUNK_LEN);
         self.publish(&self.configuration(&manifest)?)?;
         wait_until(limit, || self.replicas(weights) == self.engines.len())
-            .ok_or("the replicas were not there in time")?;
+            .ok_or("not every engine loaded the model in time")?;
         let entries = self.entries.len();
-        wait_until(limit, || (0..entries).all(|n| self.is_answered(n)))
-            .ok_or("not every entry answered in time")?;
+        wait_until(limit, || (0..entries).all(|n| self.entry_responds(n)))
+            .ok_or("not every entry responded in time")?;
         Ok(weights)
     }
 
-    fn is_answered(&self, n: usize) -> bool {
+    fn entry_responds(&self, n: usize) -> bool {
         let body = r#"{"model":"rota","max_tokens":1,"messages":[]}"#;
         let request = minreq::post(format!("http://{}/v1/chat/completions", self.callers_addr(n)))
             .with_header("mastichaven-key", CUSTOMER_KEY)
@@ -374,24 +382,24 @@
         request.send().is_ok_and(|response| response.status_code == 200)
     }
 
-    /// Publishes a configuration.
+    /// Publishes a configuration to the platform's store; hosts receive it asynchronously.
     pub fn publish(&self, config: &Config) -> Result<()> {
         let store = HttpStore::new(self.platform.base());
-        publish::publish_config(&store, config).map(drop).map_err(text)
+        publish::publish_config(&store, config).map(drop).map_err(error_text)
     }
 
-    /// Engines that answer from all the bytes of `weights`, by what they truly read.
+    /// Number of engines whose loaded bytes have the digest `weights`.
     pub fn replicas(&self, weights: Digest) -> usize {
         self.engines.values().filter(|engine| engine.weights() == Some(weights)).count()
     }
 
-    /// Requests that the engines of a zone have completed.
+    /// Number of requests completed by the engines of a zone.
     pub fn completed_in(&self, zone: &str) -> u64 {
-        let of_zone = self.engines.iter().filter(|(host, _)| self.zone_of(host) == Some(zone));
-        of_zone.map(|(_, engine)| engine.counts().completed).sum()
+        let zone_engines = self.engines.iter().filter(|(host, _)| self.zone_of(host) == Some(zone));
+        zone_engines.map(|(_, engine)| engine.counts().completed).sum()
     }
 
-    /// Stops every process gracefully, all at once.
+    /// Stops all processes gracefully and concurrently.
     pub fn stop(mut self) {
         let entries: Vec<_> = std::mem::take(&mut self.entries).into_values().collect();
         let agents: Vec<_> = std::mem::take(&mut self.agents).into_values().collect();
@@ -406,18 +414,18 @@
     }
 }
 
-fn text(error: impl ToString) -> String {
+fn error_text(error: impl ToString) -> String {
     error.to_string()
 }
 
-/// Waits until `done` or for at most `limit`; gives the time it took.
+/// Waits until `done` returns true and returns the time that took; `None` after `limit`.
 pub fn wait_until(limit: Duration, mut done: impl FnMut() -> bool) -> Option<Duration> {
     let start = Instant::now();
     while !done() {
         if start.elapsed() > limit {
             return None;
         }
-        thread::sleep(WAIT_POLL);
+        thread::sleep(POLL_INTERVAL);
     }
     Some(start.elapsed())
 }
--- a/bench/src/service.rs
+++ b/bench/src/service.rs
@@ -372,7 +372,7 @@
         for host in &hosts {
             fleet.stop_host(host);
             fleet.start_host(host)?;
-            fleet.list();
+            fleet.publish_hosts();
             if let Some(entry) = fleet.entries.get(host) {
                 let addresses = (entry.callers_addr(), entry.operators_addr());
                 known.lock().expect("no holder panics").insert(host.clone(), addresses);
--- a/bench/tests/requests/late_answers.rs
+++ b/bench/tests/requests/late_answers.rs
@@ -60,7 +60,7 @@
     let agent = "agent-booking-0".into();
     fleet.crash_host(&agent);
     fleet.start_host(&agent).unwrap();
-    fleet.list();
+    fleet.publish_hosts();
     wait_until(PATIENCE, || is_told(&fleet, "ran")).unwrap();
     let told = post(&fleet, Some("pen-8"), 1_500).unwrap();
     assert_eq!(told, ("unknown".to_owned(), "117".to_owned()));
