--- a/bench/src/bookings.rs
+++ b/bench/src/bookings.rs
@@ -32,8 +32,8 @@
 /// Deadline that a caller sends to the entry.
 const DEADLINE_MS: u64 = 4_000;
 
-/// Client timeout; shorter than [`DEADLINE_MS`], so that some callers disconnect while their booking
-/// runs.
+/// Client timeout; shorter than [`DEADLINE_MS`], so that some callers disconnect while their
+/// booking runs.
 const CALL_TIMEOUT_SECONDS: u64 = 2;
 
 /// Maximum number of requests for one keyed booking.
@@ -82,8 +82,8 @@
     pub answers_differ: usize,
     /// Keyed bookings without any response after all resends. Must be 0.
     pub unanswered: usize,
-    /// Platform reads per booking above the idle rate: those for claims in a run without faults, those
-    /// of the whole fleet in a run with faults.
+    /// Platform reads per booking above the idle rate: those for claims in a run without faults,
+    /// those of the whole fleet in a run with faults.
     pub platform_reads_per_booking: f64,
     /// Platform writes per booking above the idle rate.
     pub platform_writes_per_booking: f64,
@@ -293,8 +293,8 @@
         result
     }
 
-    /// Injects one fault after the other until the callers are done, then clears the platform faults.
-    /// Returns the number of faults.
+    /// Injects one fault after the other until the callers are done, then clears the platform
+    /// faults. Returns the number of faults.
     fn inject_faults(&self) -> usize {
         let mut rng = ChaCha8Rng::seed_from_u64(self.options.seed);
         let mut faults = 0;
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A small fleet in one process: stand-ins, entries and agents over loopback sockets. Each entry and
-//! agent can be stopped, crashed and restarted.
+//! A small fleet in one process: stand-ins, entries and agents over loopback sockets. Each entry
+//! and agent can be stopped, crashed and restarted.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -57,7 +57,8 @@
     pub engines: usize,
     /// Limits and timings of the engines.
     pub profile: EngineProfile,
-    /// Number of agents in front of the one plain service, `booking`, spread over the zones in turn.
+    /// Number of agents in front of the one plain service, `booking`, spread over the zones in
+    /// turn.
     pub plain_agents: usize,
     /// Link rate of the origin in bytes per second.
     pub origin_rate: f64,
@@ -245,7 +246,8 @@
         Ok(address)
     }
 
-    /// The tables `place` and `tls`. The TLS files are never read, since the material is passed directly.
+    /// The tables `place` and `tls`. The TLS files are never read, since the material is passed
+    /// directly.
     fn common_settings(&self, host: &HostName, setup: &HostSetup) -> String {
         let proxy = self
             .peer_proxies
@@ -261,8 +263,8 @@
         )
     }
 
-    /// Stops the process of a host gracefully and waits until it has ended. The platform still lists
-    /// the host.
+    /// Stops the process of a host gracefully and waits until it has ended. The platform still
+    /// lists the host.
     pub fn stop_host(&mut self, host: &HostName) {
         if let Some(entry) = self.entries.remove(host) {
             entry.stop();
@@ -356,9 +358,9 @@
         toml::from_str(&(zones + &tables)).map_err(error_text)
     }
 
-    /// Puts a model of `len` random bytes into the origin, publishes [`Fleet::configuration`] for it
-    /// and waits until every engine has loaded it and every entry routes requests to it. Each of the
-    /// two waits is bounded by `limit`. Returns the digest of the weights.
+    /// Puts a model of `len` random bytes into the origin, publishes [`Fleet::configuration`] for
+    /// it and waits until every engine has loaded it and every entry routes requests to it. Each of
+    /// the two waits is bounded by `limit`. Returns the digest of the weights.
     pub fn serve_model(&self, len: usize, limit: Duration) -> Result<Digest> {
         let bytes = random_weights(1, len);
         let weights = Digest::of(&bytes);
--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Load: real entries and agents before stand-in engines, against the usual ways of balancing.
+//! Compares entries and agents in front of stand-in engines with common load balancing policies.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,30 +29,31 @@
 mod caller;
 mod entry_cost;
 
-use caller::Answer;
-use caller::ask;
+use caller::CallResult;
+use caller::send_request;
 pub use entry_cost::EntryCost;
 
-/// Bytes of the model.
-const MODEL_LEN: usize = 256 << 10;
+const MODEL_BYTES: usize = 256 << 10;
 
-/// Tokens of one answer, on average.
-const TOKENS: u64 = 16;
+/// Mean number of tokens of a response.
+const MEAN_TOKENS: u64 = 16;
 
-/// How far answers differ from that. Were all equally long, those that began together would end
-/// together, and the places of all engines would come free in waves that no real load has.
-const SPREAD: u64 = 8;
+/// Maximum deviation of a response from the mean. If all responses had the same length, those that
+/// started together would end together, and the capacity of all engines would become free in waves
+/// that real load does not have.
+const MAX_TOKENS_DEVIATION: u64 = 8;
 
-/// Tokens of answer `n`.
-fn tokens_of(n: u64) -> u64 {
-    TOKENS - SPREAD + n.wrapping_mul(0x9e37_79b9_7f4a_7c15) % (2 * SPREAD + 1)
+/// Number of tokens of the response to request `n`.
+fn response_tokens(n: u64) -> u64 {
+    MEAN_TOKENS - MAX_TOKENS_DEVIATION
+        + n.wrapping_mul(0x9e37_79b9_7f4a_7c15) % (2 * MAX_TOKENS_DEVIATION + 1)
 }
 
-/// Key of the small customer.
+/// API key of the small customer.
 const SMALL_KEY: &str = "small-key";
 
-/// How the engines of this experiment behave: four zones' worth of small ones would do the same.
-const PROFILE: EngineProfile = EngineProfile {
+/// Limits and timings of the engines. Small engines in four zones would give the same results.
+const ENGINE_PROFILE: EngineProfile = EngineProfile {
     warm_limit: 8,
     cold_limit: 2,
     warm_after: 6,
@@ -63,156 +64,183 @@
     checks_fence: true,
 };
 
-/// How long a step may take before the experiment is given up.
-const STEP_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of one step, after which the experiment fails.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Attempts that a baseline makes for one request, as its clients would.
+/// Maximum attempts at one request under a baseline policy; its clients would make them.
 const BASELINE_ATTEMPTS: usize = 3;
 
-/// Pause of a baseline's client after a refusal.
-const BASELINE_PAUSE: Duration = Duration::from_millis(20);
+/// Delay of a baseline client after a refusal by admission control.
+const BASELINE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What a caller waits at most.
+/// Deadline of each request.
 const DEADLINE: Duration = Duration::from_secs(6);
 
-/// How requests are balanced.
+/// Load balancing policy.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// Through entries and agents.
+    /// Requests go through entries and agents.
     Mastichaven,
-    /// To an engine drawn at random.
+    /// Each attempt goes to an engine drawn at random.
     Random,
-    /// To the engines in turn, each of three balancers for itself.
+    /// Attempts go to the engines in turn; each of three balancers has a position of its own.
     RoundRobin,
-    /// To the engine with the fewest requests in progress as one of three balancers sees it.
+    /// Each attempt goes to the engine with the fewest requests in flight from the same one of
+    /// three balancers.
     LeastOutstanding,
 }
 
-/// What stands between balancers and engines.
+/// Protection of the engines against overload.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Guard {
-    /// Entries and agents.
+    /// Entries and agents with their own admission control.
     Mastichaven,
-    /// Nothing: three attempts, and engines fall over.
+    /// No protection: clients make up to three attempts, and overloaded engines fail.
     None,
-    /// The same admission at each engine that our agents have when all goes well; what it refuses
-    /// is balanced again after `BASELINE_PAUSE` until the deadline.
+    /// At each engine the admission control that agents apply when nothing fails. A refused request
+    /// is balanced again after `BASELINE_RETRY_DELAY` until its deadline.
     Admission,
 }
 
-/// Figures of one run of requests.
+/// Figures of one run at a fixed request rate.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunFigures {
-    /// How they were balanced.
+    /// Load balancing policy of the run.
     pub policy: Policy,
-    /// What guarded the engines.
+    /// Protection of the engines in the run.
     pub guard: Guard,
-    /// Requests offered a second.
+    /// Mean rate of requests offered per second.
     pub offered_per_second: f64,
-    /// Requests sent.
+    /// Requests sent, without the retries of baseline clients.
     pub sent: u64,
-    /// Whole answers.
+    /// Requests with a complete response.
     pub whole: u64,
-    /// Whole answers a second while requests were offered.
+    /// Complete responses per second while requests were offered, without the first second.
     pub goodput_per_second: f64,
-    /// Requests refused with `not-run`.
+    /// Requests refused with outcome `not-run`.
     pub refused: u64,
-    /// Requests that ended otherwise.
+    /// Requests that were not refused but got no complete response.
     pub failed: u64,
-    /// First tokens: median, 95th and 99th percentile in milliseconds. A request without a whole
-    /// answer counts with the deadline, unless it was refused.
+    /// Median, 95th and 99th percentile of the time to the first token in milliseconds. A request
+    /// without a complete response counts with the deadline; a refused one is left out.
     pub first_token_ms: [f64; 3],
-    /// Attempts that reached an engine, a request.
+    /// Attempts that reached an engine per request that was not refused.
     pub attempts_per_request: f64,
-    /// Times that an engine was given more than it bears, and fell over.
+    /// Times that an engine failed because its concurrency limit was exceeded.
     pub fell_over: u64,
 }
 
-/// All figures.
+/// Figures of all runs.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Requests a second that the engines bear when all are warm.
+    /// Requests per second that the engines can serve when all are warm.
     pub capacity_per_second: f64,
-    /// At 90% of the capacity with a tenth of the engines fresh.
+    /// Runs at 90% of the capacity with a tenth of the engines freshly started, one for each policy
+    /// and guard; the first is the run through entries and agents.
     pub fresh: Vec<RunFigures>,
-    /// p99 first token through the system, over that of the best baseline.
+    /// p99 of the time to the first token through entries and agents, divided by that of the best
+    /// baseline.
     pub p99_over_best_baseline: f64,
-    /// At twice the capacity.
+    /// Run at twice the capacity through entries and agents.
     pub overload: RunFigures,
-    /// Goodput at twice the capacity, over the capacity.
+    /// Goodput at twice the capacity, divided by the capacity.
     pub overload_goodput: f64,
-    /// A small customer alone.
+    /// Run of the small customer without other load.
     pub small_alone: RunFigures,
-    /// The small customer while a large one floods.
+    /// Run of the small customer while the large one offers twice the capacity.
     pub small_in_flood: RunFigures,
-    /// Its p99 in the flood over its p99 alone.
+    /// p99 of the small customer during the flood, divided by its p99 alone.
     pub flood_ratio: f64,
-    /// What the entry itself costs.
+    /// Latency and processor cost that the entry adds.
     pub entry_cost: EntryCost,
 }
 
 impl Report {
-    /// The goals that were missed.
+    /// Descriptions of the goals that were missed; empty if all were met.
     pub fn missed(&self) -> Vec<String> {
-        let ours = &self.fresh[0];
+        let through_entries = &self.fresh[0];
         let checks = [
-            (self.p99_over_best_baseline <= 0.67, "p99 first token is not a third below the best"),
-            (ours.fell_over + self.overload.fell_over == 0, "an engine got more than it bears"),
+            (
+                self.p99_over_best_baseline <= 0.67,
+                "p99 of the first token is not a third below the best baseline",
+            ),
+            (
+                through_entries.fell_over + self.overload.fell_over == 0,
+                "the concurrency limit of an engine was exceeded",
+            ),
             (self.overload_goodput >= 0.95, "goodput at twice the capacity is below 95%"),
-            (self.flood_ratio <= 1.5, "the small customer's p99 in a flood is above 1.5 of alone"),
+            (
+                self.flood_ratio <= 1.5,
+                "the small customer's p99 in a flood is more than 1.5 times its p99 alone",
+            ),
         ];
         checks.iter().filter(|(met, _)| !met).map(|(_, text)| (*text).to_owned()).collect()
     }
 }
 
-/// Runs it all; `seconds` is the length of each run of requests.
+/// Runs the whole experiment; `seconds` is the length of each run at a fixed request rate.
 pub fn run(seconds: u64) -> Result<Report> {
-    let span = Duration::from_secs(seconds);
+    let duration = Duration::from_secs(seconds);
     let zones = vec![("lagoa", "sul")];
-    let layout = Layout { zones, entries: 3, engines: 12, profile: PROFILE, ..Layout::default() };
+    let layout =
+        Layout { zones, entries: 3, engines: 12, profile: ENGINE_PROFILE, ..Layout::default() };
     let fleet = Fleet::start(&layout)?;
-    fleet.serve_model(MODEL_LEN, STEP_LIMIT)?;
+    fleet.serve_model(MODEL_BYTES, STEP_TIMEOUT)?;
     publish_customers(&fleet)?;
-    let service = PROFILE.first_token + PROFILE.per_token * u32::try_from(TOKENS).unwrap_or(0);
-    let warm = fleet.engines.len() as f64 * f64::from(PROFILE.warm_limit);
-    let capacity = warm / measured_service(&fleet)?.max(service.as_secs_f64());
+    let nominal_service = ENGINE_PROFILE.first_token
+        + ENGINE_PROFILE.per_token * u32::try_from(MEAN_TOKENS).unwrap_or(0);
+    let warm_limits = fleet.engines.len() as f64 * f64::from(ENGINE_PROFILE.warm_limit);
+    let capacity = warm_limits / min_service_seconds(&fleet)?.max(nominal_service.as_secs_f64());
 
     let mut fresh = Vec::new();
     let baselines = [Policy::Random, Policy::RoundRobin, Policy::LeastOutstanding];
     let guarded = baselines.map(|policy| (policy, Guard::Admission));
-    let bare = baselines.map(|policy| (policy, Guard::None));
-    let ours = [(Policy::Mastichaven, Guard::Mastichaven)];
-    for (policy, guard) in ours.into_iter().chain(guarded).chain(bare) {
+    let unguarded = baselines.map(|policy| (policy, Guard::None));
+    let through_entries = [(Policy::Mastichaven, Guard::Mastichaven)];
+    for (policy, guard) in through_entries.into_iter().chain(guarded).chain(unguarded) {
         warm_up(&fleet)?;
-        make_fresh(&fleet)?;
-        fresh.push(offer(&fleet, policy, guard, capacity * 0.9, span, CUSTOMER_KEY)?);
+        restart_tenth(&fleet)?;
+        fresh.push(offer_requests(&fleet, policy, guard, capacity * 0.9, duration, CUSTOMER_KEY)?);
     }
-    let best = fresh[1..].iter().map(|run| run.first_token_ms[2]).fold(f64::INFINITY, f64::min);
-    let p99_over_best_baseline = fresh[0].first_token_ms[2] / best;
+    let best_p99 = fresh[1..].iter().map(|run| run.first_token_ms[2]).fold(f64::INFINITY, f64::min);
+    let p99_over_best_baseline = fresh[0].first_token_ms[2] / best_p99;
 
     warm_up(&fleet)?;
-    let overload =
-        offer(&fleet, Policy::Mastichaven, Guard::Mastichaven, capacity * 2.0, span, CUSTOMER_KEY)?;
+    let overload = offer_requests(
+        &fleet,
+        Policy::Mastichaven,
+        Guard::Mastichaven,
+        capacity * 2.0,
+        duration,
+        CUSTOMER_KEY,
+    )?;
     let overload_goodput = overload.goodput_per_second / capacity;
 
     warm_up(&fleet)?;
     let small_alone =
-        offer(&fleet, Policy::Mastichaven, Guard::Mastichaven, 10.0, span, SMALL_KEY)?;
+        offer_requests(&fleet, Policy::Mastichaven, Guard::Mastichaven, 10.0, duration, SMALL_KEY)?;
     let small_in_flood = std::thread::scope(|scope| {
         let flood = scope.spawn(|| {
-            offer(
+            offer_requests(
                 &fleet,
                 Policy::Mastichaven,
                 Guard::Mastichaven,
                 capacity * 2.0,
-                span + Duration::from_secs(1),
+                duration + Duration::from_secs(1),
                 CUSTOMER_KEY,
             )
         });
         std::thread::sleep(Duration::from_millis(500));
-        let small = offer(&fleet, Policy::Mastichaven, Guard::Mastichaven, 10.0, span, SMALL_KEY);
+        let small = offer_requests(
+            &fleet,
+            Policy::Mastichaven,
+            Guard::Mastichaven,
+            10.0,
+            duration,
+            SMALL_KEY,
+        );
         let _ = flood.join();
         small
     })?;
@@ -233,7 +261,7 @@
     })
 }
 
-/// Gives the fleet's customer all it may ask for, and adds a small one of the same weight.
+/// Raises the limits of the fleet's customer and adds a small customer with the same weight.
 fn publish_customers(fleet: &Fleet) -> Result<()> {
     let store = HttpStore::new(fleet.platform.base());
     let documents = Documents::default();
@@ -247,86 +275,93 @@
     config.customer.insert("small".into(), small);
     config.limits.queue_len = 512;
     fleet.publish(&config)?;
-    let known = wait_until(STEP_LIMIT, || {
+    let accepted = wait_until(STEP_TIMEOUT, || {
         (0..fleet.entries.len()).all(|n| {
-            let answer = ask_one(fleet.callers_addr(n), SMALL_KEY);
-            answer.is_ok_and(|answer| answer.is_whole)
+            let result = send_one(fleet.callers_addr(n), SMALL_KEY);
+            result.is_ok_and(|result| result.is_whole)
         })
     });
-    known.map(drop).ok_or_else(|| "the small customer is not known in time".to_owned())
+    accepted.map(drop).ok_or_else(|| "not every entry served the small customer in time".to_owned())
 }
 
-fn ask_one(to: SocketAddr, key: &'static str) -> Result<Answer> {
+fn send_one(to: SocketAddr, key: &'static str) -> Result<CallResult> {
     let runtime = caller::runtime()?;
-    Ok(runtime.block_on(ask(to, key, 1, TOKENS, DEADLINE)))
+    Ok(runtime.block_on(send_request(to, key, 1, MEAN_TOKENS, DEADLINE)))
 }
 
-/// Seconds that one request takes an idle engine.
-fn measured_service(fleet: &Fleet) -> Result<f64> {
+/// Returns the shortest of five times, in seconds, that one request takes on an idle fleet.
+fn min_service_seconds(fleet: &Fleet) -> Result<f64> {
     let mut seconds: Vec<f64> = (0..5)
         .map(|n| {
-            let begun = Instant::now();
-            ask_one(fleet.callers_addr(n), CUSTOMER_KEY).map(|_| begun.elapsed().as_secs_f64())
+            let started = Instant::now();
+            send_one(fleet.callers_addr(n), CUSTOMER_KEY).map(|_| started.elapsed().as_secs_f64())
         })
         .collect::<Result<_>>()?;
     seconds.sort_by(f64::total_cmp);
     Ok(seconds[0])
 }
 
-/// Sends work until every engine has been seen with all that a warm one bears.
+/// Sends requests at the full warm concurrency until 90% of a round get a first token within three
+/// times its nominal time, and for at least a second.
 fn warm_up(fleet: &Fleet) -> Result<()> {
     let runtime = caller::runtime()?;
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
-        let full = fleet.engines.len() as u32 * PROFILE.warm_limit;
+        let warm_limits = fleet.engines.len() as u32 * ENGINE_PROFILE.warm_limit;
         let addresses: Vec<SocketAddr> =
             (0..fleet.entries.len()).map(|n| fleet.callers_addr(n)).collect();
-        let whole = runtime.block_on(async {
-            let tasks: Vec<_> = (0..full as usize)
+        let fast = runtime.block_on(async {
+            let tasks: Vec<_> = (0..warm_limits as usize)
                 .map(|n| {
-                    tokio::spawn(ask(
+                    tokio::spawn(send_request(
                         addresses[n % addresses.len()],
                         CUSTOMER_KEY,
                         n as u64,
-                        TOKENS,
+                        MEAN_TOKENS,
                         DEADLINE,
                     ))
                 })
                 .collect();
             let mut fast = 0;
             for task in tasks {
-                let answer = task.await.unwrap_or_default();
-                fast += u32::from(answer.is_whole && answer.first_token < PROFILE.first_token * 3);
+                let result = task.await.unwrap_or_default();
+                fast += u32::from(
+                    result.is_whole && result.first_token < ENGINE_PROFILE.first_token * 3,
+                );
             }
             fast
         });
-        if whole >= full * 9 / 10 && begun.elapsed() > Duration::from_secs(1) {
+        if fast >= warm_limits * 9 / 10 && started.elapsed() > Duration::from_secs(1) {
             return Ok(());
         }
-        if begun.elapsed() > STEP_LIMIT {
-            return Err(format!("the engines are not warm: {whole} of {full}"));
+        if started.elapsed() > STEP_TIMEOUT {
+            return Err(format!(
+                "engines are not warm: {fast} of {warm_limits} responses were fast"
+            ));
         }
     }
 }
 
-/// Starts a tenth of the engines again, and waits until they have the model.
-fn make_fresh(fleet: &Fleet) -> Result<()> {
+/// Restarts a tenth of the engines and waits until they have loaded the model.
+fn restart_tenth(fleet: &Fleet) -> Result<()> {
     let count = fleet.engines.len().div_ceil(10);
     let fresh: Vec<_> = fleet.engines.values().take(count).collect();
     fresh.iter().for_each(|engine| engine.crash());
     let loaded = || fresh.iter().all(|engine| engine.weights().is_some());
-    wait_until(STEP_LIMIT, loaded).map(drop).ok_or_else(|| "a fresh engine did not load".to_owned())
+    wait_until(STEP_TIMEOUT, loaded)
+        .map(drop)
+        .ok_or_else(|| "a restarted engine did not load the model in time".to_owned())
 }
 
-/// Balancers outside the system; each of several sees only what it sent itself.
+/// Several balancers without entries and agents; each of them sees only the requests it sent.
 struct Baseline {
     engines: Vec<SocketAddr>,
-    views: Vec<Mutex<View>>,
-    places: Option<Vec<Mutex<Admission>>>,
+    balancers: Vec<Mutex<BalancerState>>,
+    admissions: Option<Vec<Mutex<Admission>>>,
 }
 
 #[derive(Default)]
-struct View {
+struct BalancerState {
     next: usize,
     outstanding: Vec<u32>,
 }
@@ -338,151 +373,159 @@
         };
         let engines: Vec<SocketAddr> =
             fleet.engines.values().map(address).collect::<Result<_>>()?;
-        let view = || Mutex::new(View { next: 0, outstanding: vec![0; engines.len()] });
-        let views = (0..fleet.entries.len()).map(|_| view()).collect();
-        let places = (guard == Guard::Admission)
+        let new_balancer =
+            || Mutex::new(BalancerState { next: 0, outstanding: vec![0; engines.len()] });
+        let balancers = (0..fleet.entries.len()).map(|_| new_balancer()).collect();
+        let admissions = (guard == Guard::Admission)
             .then(|| (0..engines.len()).map(|n| Mutex::new(admission(fleet, n))).collect());
-        Ok(Baseline { engines, views, places })
+        Ok(Baseline { engines, balancers, admissions })
     }
 
-    /// A place at an engine: `None` when it is refused.
-    fn enter(&self, index: usize) -> Option<Option<Permit>> {
-        let Some(places) = &self.places else {
+    /// Asks the admission control of an engine for a permit: `None` when it refuses, `Some(None)`
+    /// when there is no admission control.
+    fn try_acquire(&self, index: usize) -> Option<Option<Permit>> {
+        let Some(admissions) = &self.admissions else {
             return Some(None);
         };
-        let place = places[index].lock().expect("no holder panics").try_acquire(1);
-        place.map(Some)
+        let permit = admissions[index].lock().expect("no holder panics").try_acquire(1);
+        permit.map(Some)
     }
 
-    fn leave(&self, index: usize, place: Option<Permit>, answer: &Answer) {
-        if let (Some(places), Some(place)) = (&self.places, place) {
-            let left = if answer.is_whole {
-                RequestEnd::Complete(answer.first_token)
+    fn release(&self, index: usize, permit: Option<Permit>, result: &CallResult) {
+        if let (Some(admissions), Some(permit)) = (&self.admissions, permit) {
+            let end = if result.is_whole {
+                RequestEnd::Complete(result.first_token)
             } else {
                 RequestEnd::Aborted
             };
-            places[index].lock().expect("no holder panics").release(place, left);
+            admissions[index].lock().expect("no holder panics").release(permit, end);
         }
     }
 
-    fn choose(&self, policy: Policy, balancer: usize, rng: &mut ChaCha8Rng) -> usize {
-        let mut view = self.views[balancer].lock().expect("no holder panics");
+    fn pick_engine(&self, policy: Policy, balancer: usize, rng: &mut ChaCha8Rng) -> usize {
+        let mut state = self.balancers[balancer].lock().expect("no holder panics");
         let index = match policy {
             Policy::RoundRobin => {
-                view.next += 1;
-                view.next % self.engines.len()
+                state.next += 1;
+                state.next % self.engines.len()
             }
             Policy::LeastOutstanding => {
-                let least = view.outstanding.iter().min().copied().unwrap_or(0);
-                let open: Vec<usize> =
-                    (0..self.engines.len()).filter(|n| view.outstanding[*n] == least).collect();
-                open[rng.random_range(0..open.len())]
+                let fewest = state.outstanding.iter().min().copied().unwrap_or(0);
+                let candidates: Vec<usize> =
+                    (0..self.engines.len()).filter(|n| state.outstanding[*n] == fewest).collect();
+                candidates[rng.random_range(0..candidates.len())]
             }
             Policy::Random | Policy::Mastichaven => rng.random_range(0..self.engines.len()),
         };
-        view.outstanding[index] += 1;
+        state.outstanding[index] += 1;
         index
     }
 
-    fn ended(&self, balancer: usize, index: usize) {
-        self.views[balancer].lock().expect("no holder panics").outstanding[index] -= 1;
+    fn record_end(&self, balancer: usize, index: usize) {
+        self.balancers[balancer].lock().expect("no holder panics").outstanding[index] -= 1;
     }
 }
 
-async fn ask_baseline(
+async fn send_through_baseline(
     baseline: Arc<Baseline>,
     policy: Policy,
     n: u64,
     mut rng: ChaCha8Rng,
-) -> Answer {
-    let balancer = n as usize % baseline.views.len();
-    let begun = Instant::now();
-    let mut answer = Answer::default();
+) -> CallResult {
+    let balancer = n as usize % baseline.balancers.len();
+    let started = Instant::now();
+    let mut result = CallResult::default();
     let mut attempt = 0;
-    while attempt < BASELINE_ATTEMPTS && begun.elapsed() < DEADLINE {
-        let index = baseline.choose(policy, balancer, &mut rng);
-        let Some(place) = baseline.enter(index) else {
-            baseline.ended(balancer, index);
-            tokio::time::sleep(BASELINE_PAUSE).await;
+    while attempt < BASELINE_ATTEMPTS && started.elapsed() < DEADLINE {
+        let index = baseline.pick_engine(policy, balancer, &mut rng);
+        let Some(permit) = baseline.try_acquire(index) else {
+            baseline.record_end(balancer, index);
+            tokio::time::sleep(BASELINE_RETRY_DELAY).await;
             continue;
         };
         attempt += 1;
-        answer = ask(baseline.engines[index], CUSTOMER_KEY, n, tokens_of(n), DEADLINE).await;
-        baseline.ended(balancer, index);
-        baseline.leave(index, place, &answer);
-        answer.attempts = attempt as u32;
-        if answer.is_whole {
-            answer.first_token += begun.elapsed().saturating_sub(answer.took);
+        result =
+            send_request(baseline.engines[index], CUSTOMER_KEY, n, response_tokens(n), DEADLINE)
+                .await;
+        baseline.record_end(balancer, index);
+        baseline.release(index, permit, &result);
+        result.attempts = attempt as u32;
+        if result.is_whole {
+            result.first_token += started.elapsed().saturating_sub(result.took);
             break;
         }
     }
-    answer
+    result
 }
 
-/// Admission of engine `n`: the tenth that was just started is cold, the others are warm.
+/// Creates the admission control of engine `n`: cold for the tenth that was just restarted, warm
+/// for the others.
 fn admission(fleet: &Fleet, n: usize) -> Admission {
-    let mut admission = Admission::cold(PROFILE.warm_limit);
+    let mut admission = Admission::cold(ENGINE_PROFILE.warm_limit);
     let is_warm = n >= fleet.engines.len().div_ceil(10);
-    let first_token = RequestEnd::Complete(PROFILE.first_token);
+    let first_token = RequestEnd::Complete(ENGINE_PROFILE.first_token);
     for _ in 0..if is_warm { 100 } else { 0 } {
-        if let Some(place) = admission.try_acquire(1) {
-            admission.release(place, first_token);
+        if let Some(permit) = admission.try_acquire(1) {
+            admission.release(permit, first_token);
         }
     }
     admission
 }
 
-/// Offers requests at random times, `per_second` on average, for as long as `span`.
-fn offer(
+/// Offers requests with exponentially distributed gaps, `per_second` on average, for `duration`.
+fn offer_requests(
     fleet: &Fleet,
     policy: Policy,
     guard: Guard,
     per_second: f64,
-    span: Duration,
+    duration: Duration,
     key: &'static str,
 ) -> Result<RunFigures> {
     let runtime = caller::runtime()?;
-    let counts = || -> (u64, u64) {
-        let all = fleet.engines.values().map(|engine| engine.counts());
-        all.fold((0, 0), |(fell, done), c| (fell + c.fell_over, done + c.completed))
+    let engine_counts = || -> (u64, u64) {
+        let counts = fleet.engines.values().map(|engine| engine.counts());
+        counts.fold((0, 0), |(fell_over, completed), c| {
+            (fell_over + c.fell_over, completed + c.completed)
+        })
     };
-    let before = counts();
+    let before = engine_counts();
     let entries: Vec<SocketAddr> =
         (0..fleet.entries.len()).map(|n| fleet.callers_addr(n)).collect();
     let baseline = Arc::new(Baseline::new(fleet, guard)?);
-    let answers = runtime.block_on(async {
+    let results = runtime.block_on(async {
         let mut rng = ChaCha8Rng::seed_from_u64(7);
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut at = Duration::ZERO;
         let mut tasks = Vec::new();
         let mut n = 0;
         loop {
             let gap = -(1.0 - rng.random::<f64>()).ln() / per_second;
             at += Duration::from_secs_f64(gap);
-            if at > span {
+            if at > duration {
                 break;
             }
-            tokio::time::sleep(at.saturating_sub(begun.elapsed())).await;
+            tokio::time::sleep(at.saturating_sub(started.elapsed())).await;
             n += 1;
             tasks.push(match policy {
                 Policy::Mastichaven => {
                     let entry = entries[rng.random_range(0..entries.len())];
-                    tokio::spawn(ask(entry, key, n, tokens_of(n), DEADLINE))
+                    tokio::spawn(send_request(entry, key, n, response_tokens(n), DEADLINE))
                 }
                 _ => {
                     let rng = ChaCha8Rng::seed_from_u64(n);
-                    tokio::spawn(ask_baseline(baseline.clone(), policy, n, rng))
+                    tokio::spawn(send_through_baseline(baseline.clone(), policy, n, rng))
                 }
             });
         }
-        let mut answers = Vec::new();
+        let mut results = Vec::new();
         for task in tasks {
-            answers.push(task.await.unwrap_or_default());
+            results.push(task.await.unwrap_or_default());
         }
-        (answers, begun)
+        (results, started)
     });
-    let (answers, begun) = answers;
-    let mut figures = figures(policy, per_second, span, begun, &answers, before, counts())?;
+    let (results, started) = results;
+    let mut figures =
+        figures(policy, per_second, duration, started, &results, before, engine_counts())?;
     figures.guard = guard;
     Ok(figures)
 }
@@ -490,42 +533,44 @@
 fn figures(
     policy: Policy,
     per_second: f64,
-    span: Duration,
-    begun: Instant,
-    answers: &[Answer],
+    duration: Duration,
+    started: Instant,
+    results: &[CallResult],
     before: (u64, u64),
     after: (u64, u64),
 ) -> Result<RunFigures> {
-    let mut millis = hdrhistogram::Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
-    for answer in answers.iter().filter(|answer| !answer.is_refused) {
-        let first = if answer.is_whole { answer.first_token } else { DEADLINE };
-        let _ = millis.record(first.as_micros() as u64);
+    let mut first_token_us = hdrhistogram::Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
+    for result in results.iter().filter(|result| !result.is_refused) {
+        let first_token = if result.is_whole { result.first_token } else { DEADLINE };
+        let _ = first_token_us.record(first_token.as_micros() as u64);
     }
-    let whole: Vec<_> = answers.iter().filter(|answer| answer.is_whole).collect();
-    // The first second fills the pipe and answers after the end are not goodput.
-    let settled = Duration::from_secs(1);
-    let in_time = |answer: &&&Answer| {
-        let at = answer.ended.map_or(Duration::MAX, |at| at.saturating_duration_since(begun));
-        at >= settled && at <= span
+    let complete: Vec<_> = results.iter().filter(|result| result.is_whole).collect();
+    // Goodput excludes the first second, in which the load builds up, and responses after the end.
+    let ramp_up = Duration::from_secs(1);
+    let in_time = |result: &&&CallResult| {
+        let at = result.ended.map_or(Duration::MAX, |at| at.saturating_duration_since(started));
+        at >= ramp_up && at <= duration
     };
-    let goodput = whole.iter().filter(in_time).count() as f64 / (span - settled).as_secs_f64();
-    let refused = answers.iter().filter(|answer| answer.is_refused).count() as u64;
-    let baseline_attempts: u64 = answers.iter().map(|a| u64::from(a.attempts)).sum();
+    let goodput =
+        complete.iter().filter(in_time).count() as f64 / (duration - ramp_up).as_secs_f64();
+    let refused = results.iter().filter(|result| result.is_refused).count() as u64;
+    let baseline_attempts: u64 = results.iter().map(|a| u64::from(a.attempts)).sum();
     let attempts = match policy {
         Policy::Mastichaven => after.1 - before.1 + after.0 - before.0,
         _ => baseline_attempts,
     };
-    let served = (answers.len() as u64 - refused).max(1);
+    let served = (results.len() as u64 - refused).max(1);
     Ok(RunFigures {
         policy,
         guard: Guard::None,
         offered_per_second: per_second,
-        sent: answers.len() as u64,
-        whole: whole.len() as u64,
+        sent: results.len() as u64,
+        whole: complete.len() as u64,
         goodput_per_second: goodput,
         refused,
-        failed: answers.len() as u64 - whole.len() as u64 - refused,
-        first_token_ms: [0.5, 0.95, 0.99].map(|q| millis.value_at_quantile(q) as f64 / 1_000.0),
+        failed: results.len() as u64 - complete.len() as u64 - refused,
+        first_token_ms: [0.5, 0.95, 0.99]
+            .map(|q| first_token_us.value_at_quantile(q) as f64 / 1_000.0),
         attempts_per_request: attempts as f64 / served as f64,
         fell_over: after.0 - before.0,
     })
--- a/bench/src/load/caller.rs
+++ b/bench/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of streamed answers.
+//! A caller that sends streaming requests and reads the responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,54 +14,54 @@
 
 use crate::fleet::Result;
 
-/// What came of one request.
+/// Result of one request.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Answer {
-    /// The whole answer came.
+pub(super) struct CallResult {
+    /// Whether the response is complete, up to its last token and the end marker.
     pub(super) is_whole: bool,
-    /// It was refused with `not-run`.
+    /// Whether the request was refused with outcome `not-run`.
     pub(super) is_refused: bool,
-    /// Time to the first token.
+    /// Time to the first bytes of the response body; zero if none came.
     pub(super) first_token: Duration,
-    /// Time to the end.
+    /// Time to the end of the request, complete or not.
     pub(super) took: Duration,
-    /// When it ended.
+    /// When the request ended; `None` if its task failed.
     pub(super) ended: Option<Instant>,
-    /// Attempts, where the caller makes them itself.
+    /// Attempts that the caller made; 0 for requests through an entry, which makes the attempts.
     pub(super) attempts: u32,
 }
 
-/// A runtime for many callers on one thread.
+/// Creates a runtime that runs all callers on one thread.
 pub(super) fn runtime() -> Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())
 }
 
-/// Sends request `n` and reads its answer to the end.
-pub(super) async fn ask(
+/// Sends request `n` and reads the response to its end, for at most two seconds past `deadline`.
+pub(super) async fn send_request(
     to: SocketAddr,
     key: &'static str,
     n: u64,
     tokens: u64,
     deadline: Duration,
-) -> Answer {
-    let begun = Instant::now();
-    let mut answer = Answer::default();
-    let reading = read(to, key, n, tokens, deadline, begun, &mut answer);
-    let whole = tokio::time::timeout(deadline + Duration::from_secs(2), reading).await;
-    answer.is_whole = matches!(whole, Ok(Some(true)));
-    answer.took = begun.elapsed();
-    answer.ended = Some(Instant::now());
-    answer
+) -> CallResult {
+    let started = Instant::now();
+    let mut result = CallResult::default();
+    let exchange = exchange(to, key, n, tokens, deadline, started, &mut result);
+    let is_complete = tokio::time::timeout(deadline + Duration::from_secs(2), exchange).await;
+    result.is_whole = matches!(is_complete, Ok(Some(true)));
+    result.took = started.elapsed();
+    result.ended = Some(Instant::now());
+    result
 }
 
-async fn read(
+async fn exchange(
     to: SocketAddr,
     key: &'static str,
     n: u64,
     tokens: u64,
     deadline: Duration,
-    begun: Instant,
-    answer: &mut Answer,
+    started: Instant,
+    result: &mut CallResult,
 ) -> Option<bool> {
     let stream = TcpStream::connect(to).await.ok()?;
     let _ = stream.set_nodelay(true);
@@ -80,7 +80,7 @@
         .ok()?;
     let mut response = sender.send_request(request).await.ok()?;
     let outcome = response.headers().get("mastichaven-outcome");
-    answer.is_refused = outcome.is_some_and(|outcome| outcome == "not-run");
+    result.is_refused = outcome.is_some_and(|outcome| outcome == "not-run");
     if response.status() != 200 {
         return Some(false);
     }
@@ -88,7 +88,7 @@
     while let Some(frame) = response.frame().await {
         let data = frame.ok()?.into_data().unwrap_or_default();
         if text.is_empty() && !data.is_empty() {
-            answer.first_token = begun.elapsed();
+            result.first_token = started.elapsed();
         }
         text.extend_from_slice(&data);
     }
