--- a/bench/tests/requests/bookings.rs
+++ b/bench/tests/requests/bookings.rs
@@ -1,9 +1,9 @@
 use mastichaven_bench::bookings;
 use mastichaven_bench::bookings::Options;
 
-// Entries, agents and the booking desk crash and come back, the platform goes down, loses answers
-// or is cut off from a zone, and callers hang up and send their booking again elsewhere. A booking
-// that ran twice would send two crews to one pen; one that nobody answers would vanish.
+// Entries, agents and the plain service crash and restart; the platform is down, loses responses or
+// is partitioned from a zone; callers disconnect and resend their booking to another entry. No
+// booking may run twice, and each keyed booking has to get a response.
 #[test]
 fn run_under_all_faults() {
     let report = bookings::run(Options { bookings: 500, seed: 1, faults: true }).unwrap();
--- a/bench/tests/requests/fresh_entry.rs
+++ b/bench/tests/requests/fresh_entry.rs
@@ -2,9 +2,9 @@
 use mastichaven_bench::fleet::Fleet;
 use mastichaven_bench::fleet::Layout;
 
-// A host is replaced, and its entry takes requests before any configuration has reached it. It
-// knows no customer and no route yet. A caller that sends its booking again, after another entry
-// has run it, would be told that it did not run, and would book by hand what is booked already.
+// A new entry receives requests before it has any configuration, so it has no customers and no
+// routes. The request may be the resend of a booking that ran through another entry. The outcome
+// `not-run` would be wrong and would make the caller book by hand what is booked already.
 #[test]
 fn post_before_any_configuration() {
     let layout =
--- a/bench/tests/requests/late_answers.rs
+++ b/bench/tests/requests/late_answers.rs
@@ -6,14 +6,14 @@
 use mastichaven_bench::fleet::Layout;
 use mastichaven_bench::fleet::wait_until;
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn post(fleet: &Fleet, key: Option<&str>, deadline_ms: u64) -> Option<(String, String)> {
     let mut request = minreq::post(format!("http://{}/book", fleet.callers_addr(0)))
         .with_header("mastichaven-key", CUSTOMER_KEY)
         .with_header("mastichaven-deadline-ms", deadline_ms.to_string())
         .with_body("pen-7")
-        .with_timeout(PATIENCE.as_secs());
+        .with_timeout(WAIT_TIMEOUT.as_secs());
     if let Some(key) = key {
         request = request.with_header("idempotency-key", key);
     }
@@ -22,47 +22,48 @@
     Some((header("mastichaven-outcome"), header("mastichaven-code")))
 }
 
-// The platform takes far longer than the caller waits. The claim cannot be written in time, and
-// the caller, who has its own callers waiting, is told so at its deadline and not when the platform
-// has finally answered or failed.
+// The platform takes far longer than the deadline of the request, so the claim cannot be written in
+// time. The response has to come at the deadline and not when the platform call ends, because the
+// caller has callers of its own that wait.
 #[test]
-fn booking_answered_at_its_deadline() {
+fn booking_deadline_with_slow_platform() {
     let layout =
         Layout { entries: 1, engines: 0, zones: vec![("lagoa", "sul")], ..Layout::default() };
     let fleet = Fleet::start(&layout).unwrap();
     fleet.publish(&bookings::configuration().unwrap()).unwrap();
-    let warm = || post(&fleet, None, 5_000).is_some_and(|(outcome, _)| outcome == "ran");
-    wait_until(PATIENCE, warm).unwrap();
+    let is_served = || post(&fleet, None, 5_000).is_some_and(|(outcome, _)| outcome == "ran");
+    wait_until(WAIT_TIMEOUT, is_served).unwrap();
     fleet.platform.set_faults(|faults| faults.delay = Duration::from_secs(30));
-    let told = post(&fleet, Some("pen-7"), 500).unwrap();
-    assert_eq!(told, ("unknown".to_owned(), "108".to_owned()));
+    let response = post(&fleet, Some("pen-7"), 500).unwrap();
+    assert_eq!(response, ("unknown".to_owned(), "108".to_owned()));
     fleet.platform.set_faults(|faults| faults.delay = Duration::ZERO);
     fleet.stop();
 }
 
-// The only agent dies while it runs a booking, and a new life of it starts. What became of the
-// booking nobody can tell, and a resend is told so at once: if it asked for the old life as long as
-// for an agent out of reach, a caller that waits less than that would never get an answer.
+// The only agent crashes while it runs a booking and restarts with a new incarnation. The outcome
+// of the booking cannot be determined, and a resend has to get `unknown` at once. If the entry
+// queried the old incarnation for as long as it queries an unreachable agent, a caller with a
+// shorter deadline would never get a response.
 #[test]
-fn booking_resent_after_its_agent_was_replaced() {
+fn booking_resent_after_agent_restart() {
     let layout =
         Layout { entries: 1, engines: 0, zones: vec![("lagoa", "sul")], ..Layout::default() };
     let mut fleet = Fleet::start(&layout).unwrap();
     fleet.publish(&bookings::configuration().unwrap()).unwrap();
-    let is_told = |fleet: &Fleet, outcome: &str| {
-        post(fleet, None, 5_000).is_some_and(|(told, _)| told == outcome)
+    let has_outcome = |fleet: &Fleet, outcome: &str| {
+        post(fleet, None, 5_000).is_some_and(|(actual, _)| actual == outcome)
     };
-    wait_until(PATIENCE, || is_told(&fleet, "ran")).unwrap();
+    wait_until(WAIT_TIMEOUT, || has_outcome(&fleet, "ran")).unwrap();
     fleet.plain.set_delay(Duration::from_secs(20));
-    let (told, _) = post(&fleet, Some("pen-8"), 1_000).unwrap();
-    assert_eq!(told, "unknown");
+    let (outcome, _) = post(&fleet, Some("pen-8"), 1_000).unwrap();
+    assert_eq!(outcome, "unknown");
     fleet.plain.set_delay(Duration::ZERO);
     let agent = "agent-booking-0".into();
     fleet.crash_host(&agent);
     fleet.start_host(&agent).unwrap();
     fleet.publish_hosts();
-    wait_until(PATIENCE, || is_told(&fleet, "ran")).unwrap();
-    let told = post(&fleet, Some("pen-8"), 1_500).unwrap();
-    assert_eq!(told, ("unknown".to_owned(), "117".to_owned()));
+    wait_until(WAIT_TIMEOUT, || has_outcome(&fleet, "ran")).unwrap();
+    let response = post(&fleet, Some("pen-8"), 1_500).unwrap();
+    assert_eq!(response, ("unknown".to_owned(), "117".to_owned()));
     fleet.stop();
 }
--- a/bench/tests/requests/main.rs
+++ b/bench/tests/requests/main.rs
@@ -1,4 +1,4 @@
-//! Requests through real entries and agents on stand-ins that fail.
+//! Tests of requests through entries and agents while the stand-ins fail.
 
 mod bookings;
 mod fresh_entry;
--- a/bench/tests/requests/model.rs
+++ b/bench/tests/requests/model.rs
@@ -7,18 +7,18 @@
 use mastichaven_bench::fleet::wait_until;
 use mastichaven_standins::EngineProfile;
 
-const LIMIT: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn fleet(per_token: Duration) -> Fleet {
     let profile = EngineProfile { per_token, ..EngineProfile::default() };
     let zones = vec![("lagoa", "sul")];
     let layout = Layout { zones, entries: 2, engines: 3, profile, ..Layout::default() };
     let fleet = Fleet::start(&layout).unwrap();
-    fleet.serve_model(64 << 10, LIMIT).unwrap();
+    fleet.serve_model(64 << 10, WAIT_TIMEOUT).unwrap();
     fleet
 }
 
-fn ask(fleet: &Fleet, entry: usize, prompt: &str, tokens: usize) -> (u16, String, String) {
+fn send_prompt(fleet: &Fleet, entry: usize, prompt: &str, tokens: usize) -> (u16, String, String) {
     let body = format!(
         "{{\"model\":\"rota\",\"stream\":true,\"max_tokens\":{tokens},\
          \"messages\":[{{\"role\":\"user\",\"content\":\"{prompt}\"}}]}}"
@@ -35,25 +35,26 @@
     (response.status_code, code, text)
 }
 
-// Engines crash in the middle of streams. The caller of one that was broken off would read half a
-// draft; one that is resumed in the wrong place would read a token twice or miss one.
+// An engine crashes in the middle of streams. The streams have to resume on another engine. A
+// stream that ended early would give its caller half a response, and one resumed at the wrong
+// position would repeat or lose tokens.
 #[test]
-fn stream_resumes_when_its_engine_crashes() {
+fn stream_resumes_after_engine_crash() {
     let fleet = fleet(Duration::from_millis(15));
     thread::scope(|scope| {
         let readers: Vec<_> = (0..4)
             .map(|n| {
                 scope.spawn({
                     let fleet = &fleet;
-                    move || ask(fleet, n, &format!("draft {n}"), 40)
+                    move || send_prompt(fleet, n, &format!("draft {n}"), 40)
                 })
             })
             .collect();
         let busy = || fleet.engines.values().filter(|engine| engine.running() > 0).count();
-        assert!(wait_until(LIMIT, || busy() > 0).is_some());
+        assert!(wait_until(WAIT_TIMEOUT, || busy() > 0).is_some());
         thread::sleep(Duration::from_millis(200));
-        let victim = fleet.engines.values().find(|engine| engine.running() > 0).unwrap();
-        victim.crash();
+        let crashing_engine = fleet.engines.values().find(|engine| engine.running() > 0).unwrap();
+        crashing_engine.crash();
         for reader in readers {
             let (status, _, text) = reader.join().unwrap();
             assert_eq!(status, 200, "{text}");
@@ -67,11 +68,11 @@
     fleet.stop();
 }
 
-// One prompt crashes each engine that runs it, and its caller sends it through every entry again.
-// Without an end to that, all engines would be down for everybody; and the prompts that happened
-// to run beside it must not be refused for its sake.
+// One prompt crashes each engine that runs it, and its caller retries it through every entry.
+// Without a quarantine all engines would be down for all callers. Prompts that ran on an engine at
+// the same time must not be refused.
 #[test]
-fn poison_is_quarantined_and_innocents_are_not() {
+fn poison_prompt_quarantined_and_others_served() {
     let fleet = fleet(Duration::from_millis(10));
     for engine in fleet.engines.values() {
         engine.set_faults(|faults| faults.poison = "poison".to_owned());
@@ -79,26 +80,30 @@
     let starts = || fleet.engines.values().map(|engine| engine.counts().starts).sum::<u64>();
     let before = starts();
     thread::scope(|scope| {
-        let innocents: Vec<_> = (0..4)
+        let other_callers: Vec<_> = (0..4)
             .map(|n| {
                 let fleet = &fleet;
                 scope.spawn(move || {
                     (0..10).all(|round| {
-                        let answered = || ask(fleet, n, &format!("draft {n} {round}"), 10).0 == 200;
-                        wait_until(LIMIT, answered).is_some()
+                        let answered =
+                            || send_prompt(fleet, n, &format!("draft {n} {round}"), 10).0 == 200;
+                        wait_until(WAIT_TIMEOUT, answered).is_some()
                     })
                 })
             })
             .collect();
-        let refused = |n: usize| ask(&fleet, n, "poison", 4).1 == "114";
+        let refused = |n: usize| send_prompt(&fleet, n, "poison", 4).1 == "114";
         let mut entry = 0;
-        let quarantined = wait_until(LIMIT, || {
+        let time_to_quarantine = wait_until(WAIT_TIMEOUT, || {
             entry += 1;
             refused(entry)
         });
-        assert!(quarantined.is_some(), "the poison is never refused");
-        assert!(wait_until(LIMIT, || refused(0) && refused(1)).is_some(), "by one entry only");
-        assert!(innocents.into_iter().all(|innocent| innocent.join().unwrap()));
+        assert!(time_to_quarantine.is_some(), "the poison prompt is not refused in time");
+        assert!(
+            wait_until(WAIT_TIMEOUT, || refused(0) && refused(1)).is_some(),
+            "only one entry refuses the poison prompt"
+        );
+        assert!(other_callers.into_iter().all(|caller| caller.join().unwrap()));
     });
     let crashes = starts() - before;
     assert!((2..=4).contains(&crashes), "{crashes} crashes");
