--- a/bench/src/capacity.rs
+++ b/bench/src/capacity.rs
@@ -208,7 +208,7 @@
 }
 
 fn peer_bytes(fleet: &Fleet) -> f64 {
-    fleet.peer_proxies.values().map(|proxy| proxy.passed() as f64).sum()
+    fleet.peer_proxies.values().map(|proxy| proxy.forwarded_bytes() as f64).sum()
 }
 
 fn dump_len(operators: SocketAddr) -> usize {
--- a/bench/src/faults/round.rs
+++ b/bench/src/faults/round.rs
@@ -196,11 +196,11 @@
             Fault::PoisonRequest => self.poison(),
             Fault::ConnectionsSilent => {
                 self.lose(host);
-                self.world.fleet.peer_proxies[host].forget_connections();
+                self.world.fleet.peer_proxies[host].blackhole_connections();
             }
             Fault::LinkStalls => {
                 self.lose(host);
-                self.world.fleet.peer_proxies[host].set_cut(true);
+                self.world.fleet.peer_proxies[host].set_partitioned(true);
             }
             Fault::ZoneOffAll => self.cut_zone(active.zone),
             _ => {}
@@ -288,7 +288,7 @@
             entries.chain(agents).partition(|(host, _)| fleet.zone_of(host) == Some(zone));
         for (host, proxy) in &fleet.peer_proxies {
             let others = if fleet.zone_of(host) == Some(zone) { &outside } else { &inside };
-            proxy.set_cut_peers(others.iter().map(|(_, address)| *address));
+            proxy.set_partitioned_peers(others.iter().map(|(_, address)| *address));
         }
         for host in fleet.agents.keys() {
             self.lose(host);
@@ -352,8 +352,8 @@
             fleet.cut_from_platform(zone, false);
         }
         for proxy in fleet.peer_proxies.values() {
-            proxy.set_cut(false);
-            proxy.set_cut_peers([]);
+            proxy.set_partitioned(false);
+            proxy.set_partitioned_peers([]);
         }
         for active in std::mem::take(&mut self.active) {
             self.mend_one(&active)?;
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -23,13 +23,13 @@
 use mastichaven_node::telemetry::Telemetry;
 use mastichaven_node::tls::DevelopmentCa;
 use mastichaven_node::tls::Role;
-use mastichaven_standins::DatagramDoor;
-use mastichaven_standins::Door;
 use mastichaven_standins::Engine;
 use mastichaven_standins::EngineProfile;
 use mastichaven_standins::Origin;
 use mastichaven_standins::Plain;
 use mastichaven_standins::Platform;
+use mastichaven_standins::PlatformProxy;
+use mastichaven_standins::UdpProxy;
 use mastichaven_standins::origin::random_weights;
 
 /// Result with an error message for the operator.
@@ -66,7 +66,7 @@
     pub agent_settings: String,
     /// Additional lines at the top level of each entry's settings.
     pub entry_settings: String,
-    /// Whether peers reach each process through a datagram proxy that can drop traffic.
+    /// Whether peers reach each process through a UDP proxy that can drop traffic.
     pub peer_proxies: bool,
 }
 
@@ -101,9 +101,9 @@
     /// Stand-in of the platform.
     pub platform: Platform,
     /// Proxy through which each zone reaches the platform.
-    pub platform_proxies: BTreeMap<&'static str, Door>,
-    /// Datagram proxy in front of each host; empty unless [`Layout::peer_proxies`] is set.
-    pub peer_proxies: BTreeMap<HostName, DatagramDoor>,
+    pub platform_proxies: BTreeMap<&'static str, PlatformProxy>,
+    /// UDP proxy in front of each host; empty unless [`Layout::peer_proxies`] is set.
+    pub peer_proxies: BTreeMap<HostName, UdpProxy>,
     /// Stand-in of the origin of weights.
     pub origin: Origin,
     /// Stand-ins of the engines, by the host of their agent.
@@ -126,7 +126,7 @@
         let platform = Platform::start(ANY_PORT).map_err(error_text)?;
         let mut platform_proxies = BTreeMap::new();
         for &(zone, _) in &layout.zones {
-            platform_proxies.insert(zone, platform.open_door(ANY_PORT).map_err(error_text)?);
+            platform_proxies.insert(zone, platform.open_proxy(ANY_PORT).map_err(error_text)?);
         }
         let mut fleet = Fleet {
             platform,
@@ -191,15 +191,14 @@
     pub fn start_host(&mut self, host: &HostName) -> Result<()> {
         let setup = self.host_setups.get(host).ok_or_else(|| format!("no host {host}"))?.clone();
         if self.layout.peer_proxies && !self.peer_proxies.contains_key(host) {
-            self.peer_proxies
-                .insert(host.clone(), DatagramDoor::open(ANY_PORT).map_err(error_text)?);
+            self.peer_proxies.insert(host.clone(), UdpProxy::open(ANY_PORT).map_err(error_text)?);
         }
         let bound = match setup.role {
             HostRole::Entry => self.start_entry(host, &setup)?,
             HostRole::Agent => self.start_agent(host, &setup)?,
         };
-        let proxy = self.peer_proxies.get(host).inspect(|proxy| proxy.lead_to(bound));
-        let address = proxy.map_or(bound, DatagramDoor::address);
+        let proxy = self.peer_proxies.get(host).inspect(|proxy| proxy.set_target(bound));
+        let address = proxy.map_or(bound, UdpProxy::address);
         let listed = ListedHost {
             name: host.clone(),
             role: setup.role,
@@ -304,7 +303,7 @@
 
     /// Partitions a zone from the platform, or reconnects it.
     pub fn cut_from_platform(&self, zone: &str, cut: bool) {
-        self.platform_proxies[zone].set_cut(cut);
+        self.platform_proxies[zone].set_partitioned(cut);
     }
 
     /// The zone of a host; `None` if the fleet has no such host.
--- a/node/src/direct/agent/loading.rs
+++ b/node/src/direct/agent/loading.rs
@@ -109,7 +109,7 @@
         }
         let may_interrupt_streams = self.may_interrupt_streams();
         let mode =
-            if may_interrupt_streams { LoadMode::CutRunning } else { LoadMode::AfterRunning };
+            if may_interrupt_streams { LoadMode::AbortRunning } else { LoadMode::DrainRunning };
         match self.endpoint_client.order_load(&target.model, target.version, mode).await {
             Ok(()) => {
                 slog::info!(self.log, "load ordered"; "version" => target.version,
