--- a/bench/src/bookings.rs
+++ b/bench/src/bookings.rs
@@ -322,9 +322,9 @@
                 read().platform.set_faults(|faults| faults.down = false);
             }
             5 => {
-                read().cut_from_platform("serra", true);
+                read().set_zone_partitioned("serra", true);
                 thread::sleep(outage);
-                read().cut_from_platform("serra", false);
+                read().set_zone_partitioned("serra", false);
             }
             6 => self.restart(&format!("agent-booking-{}", rng.random_range(0..3))),
             _ => {
--- a/bench/src/faults/round.rs
+++ b/bench/src/faults/round.rs
@@ -220,7 +220,7 @@
                 fleet.platform.set_faults(|faults| faults.hosts_lag = Duration::from_secs(2));
             }
             Fault::ZoneOffPlatform | Fault::ZoneOffAll => {
-                fleet.cut_from_platform(active.zone, true);
+                fleet.set_zone_partitioned(active.zone, true);
             }
             _ => {}
         }
@@ -349,7 +349,7 @@
             engine.set_faults(|faults| *faults = Default::default());
         }
         for (zone, _) in ZONES {
-            fleet.cut_from_platform(zone, false);
+            fleet.set_zone_partitioned(zone, false);
         }
         for proxy in fleet.peer_proxies.values() {
             proxy.set_partitioned(false);
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -301,9 +301,9 @@
         self.platform.set_hosts(self.listed.values().cloned().collect());
     }
 
-    /// Partitions a zone from the platform, or reconnects it.
-    pub fn cut_from_platform(&self, zone: &str, cut: bool) {
-        self.platform_proxies[zone].set_partitioned(cut);
+    /// Partitions a zone from the platform if `is_partitioned` is set, else reconnects it.
+    pub fn set_zone_partitioned(&self, zone: &str, is_partitioned: bool) {
+        self.platform_proxies[zone].set_partitioned(is_partitioned);
     }
 
     /// The zone of a host; `None` if the fleet has no such host.
