--- a/bench/src/faults.rs
+++ b/bench/src/faults.rs
@@ -1,8 +1,8 @@
-//! Faults alone and in pairs against a whole fleet; the history of each run is checked.
+//! Fault injection against a whole fleet, with single faults and pairs of faults.
 //!
-//! A run is one fleet that goes through many rounds. Each round lets callers work while one or two
-//! faults come about, mends them, and waits until the fleet is whole again. The verdict comes from
-//! the history alone; the waits only end runs that hang.
+//! A run takes one fleet through many rounds. Each round injects one or two faults while callers
+//! send requests, removes the faults, and waits until the fleet has recovered. The verdict comes
+//! from the recorded history alone; the timeouts only end runs that hang.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -20,50 +20,50 @@
 
 pub mod caller;
 pub mod command;
+pub mod recorded_fleet;
 pub mod round;
 pub mod table;
-pub mod world;
 
+use recorded_fleet::RecordedFleet;
 use table::Pair;
-use world::World;
 
 use crate::fleet::Result;
 
-/// One breach, with the round it happened in.
+/// A broken promise and the round in which it was broken.
 #[derive(Clone, Debug, Serialize)]
-pub struct Found {
-    /// The promise.
+pub struct FoundBreach {
+    /// Name of the broken [`Promise`].
     pub promise: String,
-    /// The round's faults and seed.
+    /// Faults and seed of the round, enough to run it again.
     pub round: String,
-    /// What is wrong.
+    /// The checker's description of the breach.
     pub detail: String,
-    /// The events that tell how it came about.
+    /// Events of the history that led to the breach, in order.
     pub trace: Vec<String>,
 }
 
-/// What a run came to.
+/// Result of one or more runs.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// Rounds run.
+    /// Rounds started, including one that got stuck.
     pub rounds: usize,
-    /// Events recorded.
+    /// Events in the recorded histories.
     pub events: usize,
-    /// Calls sent.
+    /// Requests that callers sent, including retries.
     pub calls: usize,
-    /// Seconds that each round took; no verdict comes from them.
+    /// Duration of each round in seconds, by its faults and seed; verdicts do not depend on it.
     pub seconds: BTreeMap<String, f64>,
-    /// Events examined for each promise.
+    /// Number of events examined for each promise; 0 means that the promise was not exercised.
     pub examined: BTreeMap<String, usize>,
-    /// Broken promises.
-    pub found: Vec<Found>,
-    /// Rounds after which the fleet did not become whole; the run ends there.
+    /// Breaches of all promises.
+    pub found: Vec<FoundBreach>,
+    /// Rounds after which the fleet did not recover, with the reason; each one ended its run.
     pub stuck: Vec<String>,
 }
 
 impl Report {
-    /// Adds what another run came to.
-    pub fn add(&mut self, other: Report) {
+    /// Adds the result of another run to this one.
+    pub fn merge(&mut self, other: Report) {
         self.rounds += other.rounds;
         self.events += other.events;
         self.calls += other.calls;
@@ -76,76 +76,76 @@
     }
 }
 
-/// A run's report and history.
+/// A run of one fleet.
 pub struct Run {
-    /// What it came to.
+    /// Result, with the verdicts on `history`.
     pub report: Report,
-    /// All that was recorded.
+    /// Events recorded by callers, endpoints and operators.
     pub history: History,
 }
 
-/// Runs `pairs` one after the other in one fleet.
+/// Runs a round for each of `pairs` in one fleet, with seeds counted up from `seed`.
 pub fn run(pairs: &[Pair], seed: u64) -> Result<Run> {
-    let mut world = World::start()?;
+    let mut recorded = RecordedFleet::start()?;
     let mut report = Report::default();
     for (pair, seed) in pairs.iter().zip(seed..) {
         report.rounds += 1;
         let started = Instant::now();
-        if let Err(why) = round::run(&mut world, *pair, seed) {
-            report.stuck.push(format!("{pair:?} seed {seed}: {why}"));
+        if let Err(error) = round::run(&mut recorded, *pair, seed) {
+            report.stuck.push(format!("{pair:?} seed {seed}: {error}"));
             break;
         }
         report.seconds.insert(format!("{pair:?} {seed}"), started.elapsed().as_secs_f64());
     }
-    let history = world.recorder.finish();
-    report.judge(&history);
+    let history = recorded.recorder.finish();
+    report.check_history(&history);
     Ok(Run { report, history })
 }
 
 impl Report {
-    fn judge(&mut self, history: &History) {
+    fn check_history(&mut self, history: &History) {
         self.events = history.events().len();
-        let is_call =
+        let is_request =
             |event: &&Event| matches!(event.step, Step::Invoke(mastichaven_proof::Op::Request(_)));
-        self.calls = history.events().iter().filter(is_call).count();
+        self.calls = history.events().iter().filter(is_request).count();
         for verdict in check_all(history) {
             let promise = format!("{:?}", verdict.promise);
             *self.examined.entry(promise.clone()).or_default() += verdict.examined;
             for breach in verdict.breaches {
-                let round = round_at(history, breach.sequence);
+                let round = round_label(history, breach.sequence);
                 let promise = promise.clone();
                 let trace = breach.trace(history).into_iter();
                 let trace = trace.map(|event| format!("{event:?}")).collect();
-                self.found.push(Found { promise, round, detail: breach.detail, trace });
+                self.found.push(FoundBreach { promise, round, detail: breach.detail, trace });
             }
         }
     }
 }
 
-/// The round that an event belongs to.
-fn round_at(history: &History, sequence: u64) -> String {
+/// Returns the label of the round during which the event was recorded.
+fn round_label(history: &History, sequence: u64) -> String {
     let before = history.events().iter().take_while(|event| event.sequence <= sequence);
-    let marks = before.filter_map(|event| match &event.step {
+    let labels = before.filter_map(|event| match &event.step {
         Step::Seen(Seen::Injected(text)) => Some(text.to_string()),
         _ => None,
     });
-    marks.last().unwrap_or_default()
+    labels.last().unwrap_or_default()
 }
 
-/// `pairs` in an order that follows from `seed`, dealt out to `fleets`.
-pub fn deal(mut pairs: Vec<Pair>, seed: u64, fleets: usize) -> Vec<Vec<Pair>> {
+/// Shuffles `pairs` with `seed` and splits them into at most `fleets` shares.
+pub fn split_pairs(mut pairs: Vec<Pair>, seed: u64, fleets: usize) -> Vec<Vec<Pair>> {
     pairs.shuffle(&mut ChaCha8Rng::seed_from_u64(seed));
     let share = pairs.len().div_ceil(fleets.max(1)).max(1);
     pairs.chunks(share).map(<[Pair]>::to_vec).collect()
 }
 
-/// Runs the hands that were dealt, each in a fleet of its own, at the same time.
-pub fn run_all(hands: &[Vec<Pair>], seed: u64) -> Result<Report> {
+/// Runs each share in a fleet of its own, all at the same time, and merges their reports.
+pub fn run_all(shares: &[Vec<Pair>], seed: u64) -> Result<Report> {
     let runs: Vec<Result<Run>> = std::thread::scope(|scope| {
-        let running: Vec<_> = hands
+        let running: Vec<_> = shares
             .iter()
             .enumerate()
-            .map(|(n, hand)| scope.spawn(move || run(hand, seed + 1_000 * n as u64)))
+            .map(|(n, share)| scope.spawn(move || run(share, seed + 1_000 * n as u64)))
             .collect();
         let join = |run: std::thread::ScopedJoinHandle<'_, Result<Run>>| {
             run.join().unwrap_or_else(|_| Err("a run panicked".to_owned()))
@@ -154,13 +154,13 @@
     });
     let mut report = Report::default();
     for run in runs {
-        report.add(run?.report);
+        report.merge(run?.report);
     }
     Ok(report)
 }
 
-/// Whether each promise had something that could have broken it.
-pub fn is_covered(report: &Report) -> bool {
+/// Returns whether at least one event was examined for every promise.
+pub fn covers_all_promises(report: &Report) -> bool {
     Promise::ALL.iter().all(|promise| {
         report.examined.get(&format!("{promise:?}")).is_some_and(|examined| *examined > 0)
     })
--- a/bench/src/faults/caller.rs
+++ b/bench/src/faults/caller.rs
@@ -1,4 +1,4 @@
-//! A caller over HTTP that records what it sends and what it gets.
+//! HTTP client of a caller, and the reading of replies into the form that the history records.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -22,41 +22,42 @@
 
 use crate::fleet::CUSTOMER_KEY;
 
-/// How long a caller waits for one answer. Far above every deadline of the configuration, so that
-/// only an answer that never comes runs into it.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than every deadline of the configuration, so that it expires only for a reply that never
+/// arrives.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a caller asks for.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Kind {
+pub enum RequestKind {
     /// A streamed completion of this many tokens; idempotent.
     Lookup(u32),
     /// A booking under an idempotency key; not idempotent.
     Booking,
 }
 
-/// One caller's client.
+/// Blocking HTTP client of one caller.
 pub struct Client {
     runtime: tokio::runtime::Runtime,
 }
 
 impl Client {
-    /// A client with a runtime of its own.
+    /// Creates a client that drives its connections on a runtime of its own.
     pub fn new() -> std::io::Result<Client> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         Ok(Client { runtime })
     }
 
-    /// Sends one request on a connection of its own and reads the whole answer.
-    pub fn send(&self, entry: SocketAddr, kind: Kind, work: &str) -> Answer {
+    /// Sends one request on a new connection and reads the whole reply. `work` identifies the request:
+    /// it is the prompt of a lookup, and the body and idempotency key of a booking.
+    pub fn send(&self, entry: SocketAddr, kind: RequestKind, work: &str) -> Answer {
         self.runtime.block_on(async {
-            let sent = tokio::time::timeout(PATIENCE, send(entry, kind, work)).await;
+            let sent = tokio::time::timeout(REPLY_TIMEOUT, send(entry, kind, work)).await;
             sent.unwrap_or(Answer::Cut { answering: false })
         })
     }
 }
 
-async fn send(entry: SocketAddr, kind: Kind, work: &str) -> Answer {
+async fn send(entry: SocketAddr, kind: RequestKind, work: &str) -> Answer {
     let Ok(stream) = TcpStream::connect(entry).await else {
         return Answer::NotTaken;
     };
@@ -65,37 +66,37 @@
         return cut;
     };
     let connection = tokio::spawn(connection);
-    let answer = match sender.send_request(request(entry, kind, work)).await {
-        Ok(response) => read(response, kind).await,
+    let answer = match sender.send_request(build_request(entry, kind, work)).await {
+        Ok(response) => read_reply(response, kind).await,
         Err(_) => cut,
     };
     connection.abort();
     answer
 }
 
-fn request(entry: SocketAddr, kind: Kind, work: &str) -> Request<Full<Bytes>> {
+fn build_request(entry: SocketAddr, kind: RequestKind, work: &str) -> Request<Full<Bytes>> {
     let (path, body) = match kind {
-        Kind::Lookup(tokens) => {
+        RequestKind::Lookup(tokens) => {
             let body = json!({"model": "rota", "stream": true, "max_tokens": tokens,
                 "messages": [{"role": "user", "content": work}]});
             ("/v1/chat/completions", body.to_string())
         }
-        Kind::Booking => ("/book", work.to_owned()),
+        RequestKind::Booking => ("/book", work.to_owned()),
     };
     let mut request = Request::post(path)
         .header("host", entry.to_string())
         .header("content-type", "application/json")
         .header("mastichaven-key", CUSTOMER_KEY);
-    if kind == Kind::Booking {
+    if kind == RequestKind::Booking {
         request = request.header("idempotency-key", work);
     }
-    request.body(Full::new(Bytes::from(body))).expect("the parts of this request are valid")
+    request.body(Full::new(Bytes::from(body))).expect("all headers of the request are valid")
 }
 
-async fn read(response: Response<Incoming>, kind: Kind) -> Answer {
+async fn read_reply(response: Response<Incoming>, kind: RequestKind) -> Answer {
     let header = |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok());
     let code = header("mastichaven-code").and_then(|text| text.parse().ok()).unwrap_or(0);
-    let outcome = header("mastichaven-outcome").and_then(outcome_of);
+    let outcome = header("mastichaven-outcome").and_then(parse_outcome);
     let status = response.status().as_u16();
     let Ok(body) = response.into_body().collect().await else {
         return Answer::Cut { answering: true };
@@ -103,22 +104,22 @@
     let Some(outcome) = outcome else {
         return Answer::Cut { answering: true };
     };
-    let mut answer = Read { outcome, code, ..Read::default() };
+    let mut reply = Reply { outcome, code, ..Reply::default() };
     if status == 200 {
         match kind {
-            Kind::Lookup(_) => answer.read_stream(&body.to_bytes()),
-            Kind::Booking => answer.read_booking(&body.to_bytes()),
+            RequestKind::Lookup(_) => reply.parse_stream(&body.to_bytes()),
+            RequestKind::Booking => reply.parse_booking(&body.to_bytes()),
         }
     }
-    answer.into_answer()
+    reply.into_answer()
 }
 
-fn outcome_of(text: &str) -> Option<Outcome> {
+fn parse_outcome(text: &str) -> Option<Outcome> {
     [Outcome::Ran, Outcome::NotRun, Outcome::Unknown].into_iter().find(|o| o.as_str() == text)
 }
 
-/// What an answer's body says.
-struct Read {
+/// Parts of a reply that the history records.
+struct Reply {
     outcome: Outcome,
     code: u16,
     about: BTreeSet<SmolStr>,
@@ -127,9 +128,9 @@
     result: Option<u64>,
 }
 
-impl Default for Read {
+impl Default for Reply {
     fn default() -> Self {
-        Read {
+        Reply {
             outcome: Outcome::Unknown,
             code: 0,
             about: BTreeSet::new(),
@@ -140,8 +141,8 @@
     }
 }
 
-impl Read {
-    fn read_stream(&mut self, body: &[u8]) {
+impl Reply {
+    fn parse_stream(&mut self, body: &[u8]) {
         let text = String::from_utf8_lossy(body);
         for data in text.lines().filter_map(|line| line.strip_prefix("data: ")) {
             let Ok(event) = serde_json::from_str::<Value>(data) else {
@@ -155,7 +156,7 @@
         }
     }
 
-    fn read_booking(&mut self, body: &[u8]) {
+    fn parse_booking(&mut self, body: &[u8]) {
         if let Ok(event) = serde_json::from_slice::<Value>(body) {
             self.about.extend(event["booked"].as_str().map(SmolStr::new));
             self.result = event["run"].as_u64();
@@ -163,7 +164,7 @@
     }
 
     fn into_answer(self) -> Answer {
-        // An answer about two works is about nobody's.
+        // A reply that names two requests must not be credited to either.
         let about = if self.about.len() == 1 { self.about.into_iter().next() } else { None };
         Answer::Final {
             outcome: self.outcome,
@@ -176,10 +177,11 @@
     }
 }
 
-/// What an answer to `work` says it is about: engines name the digest of the whole prompt.
-pub fn about_of(kind: Kind, work: &str) -> SmolStr {
+/// Returns the request identity that the reply to `work` must name: engines return the digest of the
+/// whole prompt, and the plain service returns the body.
+pub fn expected_about(kind: RequestKind, work: &str) -> SmolStr {
     match kind {
-        Kind::Lookup(_) => Digest::of(format!("user\n{work}\n").as_bytes()).to_hex().into(),
-        Kind::Booking => work.into(),
+        RequestKind::Lookup(_) => Digest::of(format!("user\n{work}\n").as_bytes()).to_hex().into(),
+        RequestKind::Booking => work.into(),
     }
 }
--- a/bench/src/faults/recorded_fleet.rs
+++ b/bench/src/faults/recorded_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet whose callers, endpoints and operators write one history.
+//! A fleet whose callers, endpoints and operators record their events in one history.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -34,36 +34,40 @@
 
 use super::caller;
 use super::caller::Client;
-use super::caller::Kind;
+use super::caller::RequestKind;
 use crate::fleet::CUSTOMER_KEY;
 use crate::fleet::Fleet;
 use crate::fleet::Layout;
 use crate::fleet::Result;
 use crate::fleet::wait_until;
 
-/// Zones and regions of the fleet.
+/// Availability zones of the fleet, each with its region.
 pub const ZONES: [(&str, &str); 2] = [("lagoa", "sul"), ("serra", "sul")];
 
-/// The host that the plain service's events are recorded under.
-pub const PLAIN: &str = "plain";
+/// Host name under which events of the plain service are recorded.
+pub const PLAIN_HOST: &str = "plain";
 
-/// How long a fleet may take to become whole. Far above what it needs, so that only a fleet that
-/// never does runs into it.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Far above the time that a fleet needs to recover, so that it expires only for a fleet that never
+/// does.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
 
 const MODEL_LEN: usize = 256 << 10;
 const CHUNK_LEN: u32 = 32 << 10;
+
+/// Interval at which the generation in force is read from each process.
 const OBSERVE_INTERVAL: Duration = Duration::from_millis(50);
-const DUMP_TIMEOUT_SECONDS: u64 = 2;
 
-/// Where callers find the entries; stands for the platform's balancer.
+/// Timeout of a request to the operators port of a process.
+const OPERATORS_TIMEOUT_SECONDS: u64 = 2;
+
+/// Stand-in for the load balancer of the platform: the addresses of the entries in rotation.
 #[derive(Clone, Default)]
 pub struct Balancer {
     entries: Arc<Mutex<Vec<(HostName, SocketAddr)>>>,
 }
 
 impl Balancer {
-    /// The `n`th entry, counted round; none while every entry is down.
+    /// Returns entry `n` modulo the number of entries, or `None` while no entry is in rotation.
     pub fn pick(&self, n: usize) -> Option<(HostName, SocketAddr)> {
         let entries = lock(&self.entries);
         entries.get(n.checked_rem(entries.len())?).cloned()
@@ -74,55 +78,55 @@
         *lock(&self.entries) = entries.map(|(host, e)| (host.clone(), e.callers_addr())).collect();
     }
 
-    /// Takes an entry out, as a balancer does when it is not ready.
+    /// Removes an entry from rotation, as a load balancer does when the entry is not ready.
     pub fn remove(&self, host: &HostName) {
         lock(&self.entries).retain(|(entry, _)| entry != host);
     }
 }
 
-/// Whether a process says that it takes new work; one that does not answer takes none.
+/// Returns whether a process reports that it accepts new requests; `false` if it does not reply.
 pub fn is_ready(operators: SocketAddr) -> bool {
     let request = minreq::get(format!("http://{operators}/ready"));
-    let response = request.with_timeout(DUMP_TIMEOUT_SECONDS).send();
+    let response = request.with_timeout(OPERATORS_TIMEOUT_SECONDS).send();
     response.is_ok_and(|response| response.status_code == 200)
 }
 
-/// Where the processes' state is read, and what was read last.
+/// Operator addresses of the observed processes, and the generations last read from them.
 #[derive(Default)]
-struct Watched {
+struct Observed {
     operators: BTreeMap<HostName, SocketAddr>,
     in_force: BTreeMap<HostName, Generation>,
 }
 
-/// The fleet and its history.
-pub struct World {
-    /// The fleet.
+/// A running fleet and the recorder of its history.
+pub struct RecordedFleet {
+    /// The fleet, on which rounds inject faults.
     pub fleet: Fleet,
-    /// The history.
+    /// Recorder shared by callers, endpoints and operators.
     pub recorder: Recorder,
-    /// Where callers find the entries.
+    /// Load balancer that callers use to pick an entry.
     pub balancer: Balancer,
-    /// The configuration as operators wrote it last.
+    /// The configuration that the next publication writes.
     pub config: Config,
     versions: [Digest; 2],
-    watched: Arc<Mutex<Watched>>,
-    over: Arc<AtomicBool>,
+    observed: Arc<Mutex<Observed>>,
+    is_stopped: Arc<AtomicBool>,
     calls: Arc<AtomicU64>,
 }
 
-impl Drop for World {
+impl Drop for RecordedFleet {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Release);
+        self.is_stopped.store(true, Ordering::Release);
     }
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no holder of this lock panics")
+    mutex.lock().expect("no thread panics while it holds this lock")
 }
 
-impl World {
-    /// Starts the fleet with two versions at the origin, and waits until it serves.
-    pub fn start() -> Result<World> {
+impl RecordedFleet {
+    /// Starts the fleet with two versions at the origin and waits until it serves requests.
+    pub fn start() -> Result<RecordedFleet> {
         let layout = Layout {
             zones: ZONES.to_vec(),
             entries: 1,
@@ -143,67 +147,68 @@
         });
         for (host, engine) in &fleet.engines {
             let zone = fleet.zone_of(host).unwrap_or_default();
-            engine.observe(observer(recorder.clone(), host.clone(), zone));
+            engine.observe(endpoint_observer(recorder.clone(), host.clone(), zone));
         }
-        fleet.plain.observe(observer(recorder.clone(), PLAIN.into(), PLAIN));
-        let world = World {
-            config: configuration(&versions)?,
+        fleet.plain.observe(endpoint_observer(recorder.clone(), PLAIN_HOST.into(), PLAIN_HOST));
+        let recorded = RecordedFleet {
+            config: build_config(&versions)?,
             fleet,
             recorder,
             balancer: Balancer::default(),
             versions,
-            watched: Arc::default(),
-            over: Arc::default(),
+            observed: Arc::default(),
+            is_stopped: Arc::default(),
             calls: Arc::default(),
         };
-        world.refresh();
-        world.spawn_observer()?;
-        let config = world.config.clone();
-        world.publish(0, &config);
-        world.settle()?;
-        world.wait_whole()?;
-        Ok(world)
+        recorded.update_processes();
+        recorded.spawn_generation_observer()?;
+        let config = recorded.config.clone();
+        recorded.publish(0, &config);
+        recorded.publish_and_settle()?;
+        recorded.wait_recovered()?;
+        Ok(recorded)
     }
 
-    /// Tells callers and observer which processes run now.
-    pub fn refresh(&self) {
+    /// Updates the load balancer and the observer with the processes that run now, and records each
+    /// new process as started.
+    pub fn update_processes(&self) {
         self.balancer.set(&self.fleet);
         let entries = self.fleet.entries.iter().map(|(host, e)| (host.clone(), e.operators_addr()));
         let agents = self.fleet.agents.iter().map(|(host, a)| (host.clone(), a.operators_addr()));
-        let mut watched = lock(&self.watched);
+        let mut observed = lock(&self.observed);
         let operators: BTreeMap<HostName, SocketAddr> = entries.chain(agents).collect();
         for (host, address) in &operators {
-            if watched.operators.get(host) != Some(address) {
-                watched.in_force.remove(host);
+            if observed.operators.get(host) != Some(address) {
+                observed.in_force.remove(host);
                 self.recorder.seen(Process::Host(host.clone()), Seen::Started);
             }
         }
-        watched.operators = operators;
+        observed.operators = operators;
     }
 
-    /// Stops observing a process that is about to end.
-    pub fn forget(&self, host: &HostName) {
-        let mut watched = lock(&self.watched);
-        watched.operators.remove(host);
-        watched.in_force.remove(host);
+    /// Removes a process that is about to end from the observer and the load balancer.
+    pub fn remove_process(&self, host: &HostName) {
+        let mut observed = lock(&self.observed);
+        observed.operators.remove(host);
+        observed.in_force.remove(host);
         self.balancer.remove(host);
     }
 
-    /// Reads each process's generation in force, all through the run.
-    fn spawn_observer(&self) -> Result<()> {
-        let (watched, recorder, over) =
-            (self.watched.clone(), self.recorder.clone(), self.over.clone());
+    /// Spawns a thread that records each change of a process's generation in force until the run ends.
+    fn spawn_generation_observer(&self) -> Result<()> {
+        let (observed, recorder, is_stopped) =
+            (self.observed.clone(), self.recorder.clone(), self.is_stopped.clone());
         let observe = move || {
-            while !over.load(Ordering::Acquire) {
-                let operators = lock(&watched).operators.clone();
+            while !is_stopped.load(Ordering::Acquire) {
+                let operators = lock(&observed).operators.clone();
                 for (host, address) in operators {
-                    let generation = generation_at(address);
-                    let mut watched = lock(&watched);
-                    // The process may have ended, or started anew, while it was asked.
-                    let same = watched.operators.get(&host) == Some(&address);
-                    if let (true, Some(generation)) = (same, generation) {
-                        let before = watched.in_force.insert(host.clone(), generation);
-                        if before != Some(generation) {
+                    let generation = read_generation(address);
+                    let mut observed = lock(&observed);
+                    // The process may have ended or restarted during the read.
+                    let is_current = observed.operators.get(&host) == Some(&address);
+                    if let (true, Some(generation)) = (is_current, generation) {
+                        let previous = observed.in_force.insert(host.clone(), generation);
+                        if previous != Some(generation) {
                             recorder.seen(Process::Host(host), Seen::InForce(generation));
                         }
                     }
@@ -215,64 +220,70 @@
         spawned.map(drop).map_err(|e| e.to_string())
     }
 
-    /// Publishes a configuration as the operator `n`; says which generation was accepted.
+    /// Publishes a configuration as operator `n`; returns the accepted generation, or `None` if the
+    /// publication was rejected or its result is unknown.
     pub fn publish(&self, n: u32, config: &Config) -> Option<Generation> {
-        publish_recorded(&self.recorder, &self.fleet.platform.base(), n, config)
+        publish_and_record(&self.recorder, &self.fleet.platform.base(), n, config)
     }
 
-    /// Publishes `config` until it is accepted, and waits until every process has it in force.
-    pub fn settle(&self) -> Result<()> {
+    /// Publishes the configuration until it is accepted, and waits until it is in force in every
+    /// process.
+    pub fn publish_and_settle(&self) -> Result<()> {
         let config = self.config.clone();
-        wait_until(PATIENCE, || self.publish(0, &config).is_some())
-            .ok_or("no configuration is accepted")?;
-        self.wait_settled(&[]).ok_or_else(|| "a configuration does not settle".to_owned())
+        wait_until(RECOVERY_TIMEOUT, || self.publish(0, &config).is_some())
+            .ok_or("the configuration was not accepted in time")?;
+        self.wait_settled(&[])
+            .ok_or_else(|| "the accepted generation was not in force everywhere in time".to_owned())
     }
 
-    /// Waits until every process but those of `unreached` zones holds the accepted generation.
-    pub fn wait_settled(&self, unreached: &[&str]) -> Option<()> {
+    /// Waits until every process outside the `unreachable` zones has the accepted generation in force,
+    /// and records that it has settled; returns `None` on timeout.
+    pub fn wait_settled(&self, unreachable: &[&str]) -> Option<()> {
         let store = HttpStore::new(self.fleet.platform.base());
         let operator = Process::Operator(0);
-        let accepted = || {
+        let read_accepted = || {
             self.recorder.invoke(operator.clone(), Op::ReadAccepted);
             let (_, head) = accepted_config::read_head(&store).ok()??;
             Some(head.generation)
         };
-        let mut wanted = None;
-        wait_until(PATIENCE, || {
-            wanted = accepted();
-            wanted.is_some()
+        let mut accepted = None;
+        wait_until(RECOVERY_TIMEOUT, || {
+            accepted = read_accepted();
+            accepted.is_some()
         })?;
-        let wanted = wanted?;
-        self.recorder.ret(operator, Return::Held(wanted));
-        wait_until(PATIENCE, || {
-            let watched = lock(&self.watched);
-            watched.operators.keys().all(|host| {
-                let holds = watched.in_force.get(host).is_some_and(|held| *held >= wanted);
-                holds || self.fleet.zone_of(host).is_some_and(|zone| unreached.contains(&zone))
+        let accepted = accepted?;
+        self.recorder.ret(operator, Return::Held(accepted));
+        wait_until(RECOVERY_TIMEOUT, || {
+            let observed = lock(&self.observed);
+            observed.operators.keys().all(|host| {
+                let is_in_force =
+                    observed.in_force.get(host).is_some_and(|in_force| *in_force >= accepted);
+                is_in_force
+                    || self.fleet.zone_of(host).is_some_and(|zone| unreachable.contains(&zone))
             })
         })?;
-        self.recorder.seen(Process::Operator(0), Seen::Settled(wanted));
+        self.recorder.seen(Process::Operator(0), Seen::Settled(accepted));
         Some(())
     }
 
-    /// Waits until lookups and bookings are answered through every entry.
-    pub fn wait_whole(&self) -> Result<()> {
+    /// Waits until a lookup and a booking succeed through every entry.
+    pub fn wait_recovered(&self) -> Result<()> {
         for n in 0..self.fleet.entries.len() {
-            for kind in [Kind::Lookup(2), Kind::Booking] {
-                wait_until(PATIENCE, || self.call(kind, n, None) == Some(Outcome::Ran))
-                    .ok_or_else(|| format!("no {kind:?} is answered through entry {n}"))?;
+            for kind in [RequestKind::Lookup(2), RequestKind::Booking] {
+                wait_until(RECOVERY_TIMEOUT, || self.call(kind, n, None) == Some(Outcome::Ran))
+                    .ok_or_else(|| format!("no {kind:?} request succeeded through entry {n}"))?;
             }
         }
         Ok(())
     }
 
-    /// Sends one call as a caller of its own, and gives its outcome.
-    pub fn call(&self, kind: Kind, n: usize, work: Option<&str>) -> Option<Outcome> {
+    /// Sends one request with a new client; returns its outcome, or `None` if no final reply came.
+    pub fn call(&self, kind: RequestKind, n: usize, work: Option<&str>) -> Option<Outcome> {
         let client = Client::new().ok()?;
         self.caller(Process::Caller(u32::MAX)).call(&client, kind, n, work)
     }
 
-    /// Takes calls of one caller.
+    /// Creates a caller that records its requests as `process`.
     pub fn caller(&self, process: Process) -> Caller {
         Caller {
             process,
@@ -282,29 +293,29 @@
         }
     }
 
-    /// Serves the other version from now on.
-    pub fn change_version(&mut self) {
+    /// Switches the configuration to the other version; takes effect once published.
+    pub fn switch_version(&mut self) {
         let model = self.config.model.values_mut();
         for model in model {
-            let other = if model.serve.as_str() == "rota-0" { "rota-1" } else { "rota-0" };
-            model.serve = other.into();
+            let version = if model.serve.as_str() == "rota-0" { "rota-1" } else { "rota-0" };
+            model.serve = version.into();
         }
     }
 
-    /// Takes a zone out, or back in.
-    pub fn set_zone(&mut self, zone: &str, state: ZoneState) {
+    /// Sets the state of a zone in the configuration; takes effect once published.
+    pub fn set_zone_state(&mut self, zone: &str, state: ZoneState) {
         if let Some(zone) = self.config.zone.get_mut(&zone.into()) {
             zone.state = state;
         }
     }
 
-    /// The versions at the origin.
+    /// Manifest digests of the two versions at the origin.
     pub fn versions(&self) -> [Digest; 2] {
         self.versions
     }
 }
 
-/// Sends the calls of one caller and records them.
+/// Sends the requests of one caller and records them.
 #[derive(Clone)]
 pub struct Caller {
     process: Process,
@@ -314,12 +325,12 @@
 }
 
 impl Caller {
-    /// Sends one call to the `n`th entry; a resend names the `work` of the first call. Gives its
-    /// outcome, or nothing when no final answer came.
+    /// Sends one request through entry `n`. A retry passes the `work` of the first attempt. Returns
+    /// the outcome, or `None` if no entry was in rotation or no final reply came.
     pub fn call(
         &self,
         client: &Client,
-        kind: Kind,
+        kind: RequestKind,
         n: usize,
         work: Option<&str>,
     ) -> Option<Outcome> {
@@ -329,12 +340,12 @@
         let request = Request {
             call,
             work: work.as_str().into(),
-            about: caller::about_of(kind, &work),
+            about: caller::expected_about(kind, &work),
             entry,
-            idempotent: kind != Kind::Booking,
+            idempotent: kind != RequestKind::Booking,
             parts: match kind {
-                Kind::Lookup(tokens) => Some(tokens),
-                Kind::Booking => None,
+                RequestKind::Lookup(tokens) => Some(tokens),
+                RequestKind::Booking => None,
             },
         };
         self.recorder.invoke(self.process.clone(), Op::Request(request));
@@ -348,14 +359,14 @@
     }
 }
 
-/// Publishes and records the operation.
-pub fn publish_recorded(
+/// Publishes a configuration and records the operation and its result.
+pub fn publish_and_record(
     recorder: &Recorder,
     platform: &str,
     operator: u32,
     config: &Config,
 ) -> Option<Generation> {
-    let text = toml::to_string(config).expect("a configuration always encodes");
+    let text = toml::to_string(config).expect("a configuration serializes to TOML");
     let content = Digest::of(text.as_bytes());
     let process = Process::Operator(operator);
     recorder.invoke(process.clone(), Op::Publish(content));
@@ -375,17 +386,17 @@
     }
 }
 
-fn observer(recorder: Recorder, host: HostName, zone: &'static str) -> Observer {
-    use mastichaven_standins::Seen as AtEndpoint;
+fn endpoint_observer(recorder: Recorder, host: HostName, zone: &'static str) -> Observer {
+    use mastichaven_standins::Seen as EndpointEvent;
     Arc::new(move |seen| {
         let seen = match seen {
-            AtEndpoint::Began { work, start, running, bears } => {
+            EndpointEvent::Began { work, start, running, bears } => {
                 let (work, zone) = (work.into(), zone.into());
                 Seen::Began { work, zone, start, running, bears }
             }
-            AtEndpoint::Ended { work, whole } => Seen::Ended { work: work.into(), whole },
-            AtEndpoint::Lost => Seen::Lost,
-            AtEndpoint::Loaded { version, weights } => {
+            EndpointEvent::Ended { work, whole } => Seen::Ended { work: work.into(), whole },
+            EndpointEvent::Lost => Seen::Lost,
+            EndpointEvent::Loaded { version, weights } => {
                 Seen::Loaded { version: Digest::from_hex(&version).unwrap_or_default(), weights }
             }
         };
@@ -393,14 +404,14 @@
     })
 }
 
-fn generation_at(operators: SocketAddr) -> Option<Generation> {
+fn read_generation(operators: SocketAddr) -> Option<Generation> {
     let request = minreq::get(format!("http://{operators}/dump"));
-    let response = request.with_timeout(DUMP_TIMEOUT_SECONDS).send().ok()?;
+    let response = request.with_timeout(OPERATORS_TIMEOUT_SECONDS).send().ok()?;
     let dump: Value = serde_json::from_slice(response.as_bytes()).ok()?;
     dump["generation"].as_u64().map(Generation)
 }
 
-fn configuration(versions: &[Digest; 2]) -> Result<Config> {
+fn build_config(versions: &[Digest; 2]) -> Result<Config> {
     let zones: String = ZONES
         .iter()
         .map(|(zone, region)| format!("[zone.{zone}]\nregion = \"{region}\"\n"))
--- a/bench/src/faults/round.rs
+++ b/bench/src/faults/round.rs
@@ -1,4 +1,5 @@
-//! One round: callers at work while one or two faults come about, then everything mended.
+//! One round: injects one or two faults while callers send requests, then reverts them and waits for
+//! recovery.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -21,108 +22,115 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::caller::Client;
-use super::caller::Kind;
+use super::caller::RequestKind;
+use super::recorded_fleet::Caller;
+use super::recorded_fleet::PLAIN_HOST;
+use super::recorded_fleet::RecordedFleet;
+use super::recorded_fleet::ZONES;
+use super::recorded_fleet::is_ready;
+use super::recorded_fleet::publish_and_record;
 use super::table::Fault;
 use super::table::Pair;
-use super::world::Caller;
-use super::world::PLAIN;
-use super::world::World;
-use super::world::ZONES;
-use super::world::is_ready;
-use super::world::publish_recorded;
 use crate::fleet::Result;
 use crate::fleet::wait_until;
 
-/// Caller threads of a round.
+/// Caller threads in a round.
 const CALLERS: u32 = 4;
 
-/// Works each caller asks for in a round.
-const WORKS: u64 = 6;
+/// Distinct requests that each caller sends in a round.
+const REQUESTS_PER_CALLER: u64 = 6;
 
-/// Calls for one work at most.
-const SENDS: usize = 3;
+/// Attempts that a caller makes for one request, including the first.
+const MAX_ATTEMPTS: usize = 3;
 
-/// Tokens of a lookup's answer at most.
+/// Longest reply that a lookup asks for, in tokens.
 const MAX_TOKENS: u32 = 12;
 
-/// Calls of the round itself after a zone or a host has been closed.
-const CALLS_AFTER: usize = 6;
+/// Requests that the round itself sends after a zone or a host has been closed.
+const CALLS_AFTER_CLOSING: usize = 6;
 
-/// How long a caller waits before it sends a work again.
-const RESEND_AFTER: Duration = Duration::from_millis(60);
+/// Delay of a caller before it retries a request.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// How long a round waits for its callers to get on before it brings a fault about.
-const PROGRESS_LIMIT: Duration = Duration::from_secs(60);
+/// Timeout for the callers to reach the point at which a fault is injected, and for a process that
+/// is stopped to become unready.
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long a stalled link or a silent platform stays so, beyond the time callers need.
-const HOLD: Duration = Duration::from_millis(150);
+/// Time for which the faults stay active after the callers have finished.
+const FAULT_HOLD_DURATION: Duration = Duration::from_millis(150);
 
-/// What a fault that is there needs to be mended.
-struct Active {
+/// An injected fault and where it was injected, as needed to revert it.
+struct ActiveFault {
     fault: Fault,
     host: HostName,
     zone: &'static str,
 }
 
-/// One round of a world.
+/// A round in progress on a fleet.
 pub struct Round<'a> {
-    world: &'a mut World,
+    recorded: &'a mut RecordedFleet,
     rng: ChaCha8Rng,
-    active: Vec<Active>,
-    /// Zones that cannot be told anything at present.
-    unreached: BTreeSet<&'static str>,
-    poison: String,
+    active_faults: Vec<ActiveFault>,
+    /// Zones that are cut off, so that no configuration reaches them.
+    unreachable_zones: BTreeSet<&'static str>,
+    poison_work: String,
 }
 
-/// Runs a round; an error says that the fleet did not become whole again.
-pub fn run(world: &mut World, pair: Pair, seed: u64) -> Result<()> {
-    let mark = |world: &World, text: String| {
-        world.recorder.seen(Process::Operator(0), Seen::Injected(text.into()));
+/// Runs a round; returns an error if the fleet did not recover.
+pub fn run(recorded: &mut RecordedFleet, pair: Pair, seed: u64) -> Result<()> {
+    let record_start = |recorded: &RecordedFleet, text: String| {
+        recorded.recorder.seen(Process::Operator(0), Seen::Injected(text.into()));
     };
-    mark(world, format!("{pair:?} seed {seed}"));
+    record_start(recorded, format!("{pair:?} seed {seed}"));
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let poison = format!("poison-{seed}-{}", rng.random::<u32>());
-    let round = Round { world, rng, active: Vec::new(), unreached: BTreeSet::new(), poison };
+    let poison_work = format!("poison-{seed}-{}", rng.random::<u32>());
+    let round = Round {
+        recorded,
+        rng,
+        active_faults: Vec::new(),
+        unreachable_zones: BTreeSet::new(),
+        poison_work,
+    };
     round.run(pair)
 }
 
 impl Round<'_> {
     fn run(mut self, pair: Pair) -> Result<()> {
-        let done = Arc::new(AtomicU64::new(0));
-        let all = u64::from(CALLERS) * WORKS;
-        let callers: Vec<_> = (0..CALLERS).map(|n| self.spawn_caller(n, &done)).collect();
+        let completed = Arc::new(AtomicU64::new(0));
+        let total = u64::from(CALLERS) * REQUESTS_PER_CALLER;
+        let callers: Vec<_> = (0..CALLERS).map(|n| self.spawn_caller(n, &completed)).collect();
         for fault in [Some(pair.first), pair.second].into_iter().flatten() {
-            let at = done.load(Ordering::Acquire) + self.rng.random_range(0..all / 3);
-            wait_until(PROGRESS_LIMIT, || done.load(Ordering::Acquire) >= at.min(all))
-                .ok_or("the callers do not get on")?;
-            self.bring_about(fault)?;
+            let target = completed.load(Ordering::Acquire) + self.rng.random_range(0..total / 3);
+            wait_until(PROGRESS_TIMEOUT, || completed.load(Ordering::Acquire) >= target.min(total))
+                .ok_or("the callers made no progress")?;
+            self.inject(fault)?;
         }
         for caller in callers {
             caller.join().map_err(|_| "a caller panicked")?;
         }
-        thread::sleep(HOLD);
-        self.mend()?;
-        self.world.settle()?;
-        self.world.wait_whole()
+        thread::sleep(FAULT_HOLD_DURATION);
+        self.revert_faults()?;
+        self.recorded.publish_and_settle()?;
+        self.recorded.wait_recovered()
     }
 
-    fn spawn_caller(&mut self, n: u32, done: &Arc<AtomicU64>) -> thread::JoinHandle<()> {
-        let caller = self.world.caller(Process::Caller(n));
-        let (seed, done) = (self.rng.random(), done.clone());
-        thread::spawn(move || work(&caller, seed, &done))
+    fn spawn_caller(&mut self, n: u32, completed: &Arc<AtomicU64>) -> thread::JoinHandle<()> {
+        let caller = self.recorded.caller(Process::Caller(n));
+        let (seed, completed) = (self.rng.random(), completed.clone());
+        thread::spawn(move || run_caller(&caller, seed, &completed))
     }
 
-    fn seen(&self, host: &str, seen: Seen) {
-        self.world.recorder.seen(Process::Host(host.into()), seen);
+    fn record(&self, host: &str, event: Seen) {
+        self.recorded.recorder.seen(Process::Host(host.into()), event);
     }
 
-    fn some_host(&mut self, prefix: &str) -> HostName {
-        let fleet = &self.world.fleet;
+    fn pick_host(&mut self, prefix: &str) -> HostName {
+        let fleet = &self.recorded.fleet;
         let hosts: Vec<HostName> = fleet
             .agents
             .keys()
             .chain(fleet.entries.keys())
-            .filter(|host| host.as_str().starts_with(prefix) && !self.is_broken(host))
+            .filter(|host| host.as_str().starts_with(prefix) && !self.has_active_fault(host))
             .cloned()
             .collect();
         if hosts.is_empty() {
@@ -131,84 +139,85 @@
         hosts[self.rng.random_range(0..hosts.len())].clone()
     }
 
-    fn some_engine(&mut self) -> HostName {
-        let hosts: Vec<HostName> = self.world.fleet.engines.keys().cloned().collect();
+    fn pick_engine(&mut self) -> HostName {
+        let hosts: Vec<HostName> = self.recorded.fleet.engines.keys().cloned().collect();
         hosts[self.rng.random_range(0..hosts.len())].clone()
     }
 
-    fn is_broken(&self, host: &HostName) -> bool {
-        self.active.iter().any(|active| active.host == *host)
+    fn has_active_fault(&self, host: &HostName) -> bool {
+        self.active_faults.iter().any(|active| active.host == *host)
     }
 
-    fn bring_about(&mut self, fault: Fault) -> Result<()> {
-        let mut active = Active { fault, host: HostName::default(), zone: ZONES[0].0 };
+    fn inject(&mut self, fault: Fault) -> Result<()> {
+        let mut active = ActiveFault { fault, host: HostName::default(), zone: ZONES[0].0 };
         active.zone = ZONES[self.rng.random_range(0..ZONES.len())].0;
         match fault {
-            Fault::HostDies | Fault::AgentStops => active.host = self.some_host("agent-"),
-            Fault::EntryDies | Fault::EntryStops => active.host = self.some_host("entry-"),
-            Fault::ConnectionsSilent | Fault::LinkStalls => active.host = self.some_host(""),
-            Fault::EngineCrashes | Fault::EngineCold => active.host = self.some_engine(),
+            Fault::HostDies | Fault::AgentStops => active.host = self.pick_host("agent-"),
+            Fault::EntryDies | Fault::EntryStops => active.host = self.pick_host("entry-"),
+            Fault::ConnectionsSilent | Fault::LinkStalls => active.host = self.pick_host(""),
+            Fault::EngineCrashes | Fault::EngineCold => active.host = self.pick_engine(),
             _ => {}
         }
-        self.break_processes(&active);
-        self.break_platform(&active);
-        self.change_config(&active);
-        self.active.push(active);
+        self.inject_process_fault(&active);
+        self.inject_platform_fault(&active);
+        self.inject_config_change(&active);
+        self.active_faults.push(active);
         Ok(())
     }
 
-    /// The events of an endpoint whose host or way fails.
-    fn lose(&self, host: &HostName) {
-        let booking = host.as_str().starts_with("agent-booking");
-        self.seen(if booking { PLAIN } else { host.as_str() }, Seen::Lost);
+    /// Records that the endpoint of `host` was lost with the host or its link. The plain service records
+    /// under a host name of its own.
+    fn record_endpoint_lost(&self, host: &HostName) {
+        let is_plain = host.as_str().starts_with("agent-booking");
+        self.record(if is_plain { PLAIN_HOST } else { host.as_str() }, Seen::Lost);
     }
 
-    fn break_processes(&mut self, active: &Active) {
+    fn inject_process_fault(&mut self, active: &ActiveFault) {
         let host = &active.host;
         match active.fault {
             Fault::HostDies => {
-                self.world.forget(host);
-                self.lose(host);
-                self.world.fleet.crash_host(host);
-                if let Some(engine) = self.world.fleet.engines.get(host) {
+                self.recorded.remove_process(host);
+                self.record_endpoint_lost(host);
+                self.recorded.fleet.crash_host(host);
+                if let Some(engine) = self.recorded.fleet.engines.get(host) {
                     engine.set_faults(|faults| faults.down = true);
                     engine.crash();
                 }
             }
             Fault::EntryDies => {
-                self.world.forget(host);
-                self.world.fleet.crash_host(host);
+                self.recorded.remove_process(host);
+                self.recorded.fleet.crash_host(host);
             }
-            Fault::AgentStops | Fault::EntryStops => self.stop(host),
-            Fault::EngineCrashes => self.world.fleet.engines[host].crash(),
+            Fault::AgentStops | Fault::EntryStops => self.stop_process(host),
+            Fault::EngineCrashes => self.recorded.fleet.engines[host].crash(),
             Fault::EngineCold => {
-                self.seen(host.as_str(), Seen::TurnedCold);
-                self.world.fleet.engines[host].turn_cold();
+                self.record(host.as_str(), Seen::TurnedCold);
+                self.recorded.fleet.engines[host].turn_cold();
             }
             Fault::ServiceCrashes => {
-                self.world.fleet.plain.set_faults(|faults| faults.crash_after_run = 1);
+                self.recorded.fleet.plain.set_faults(|faults| faults.crash_after_run = 1);
             }
-            Fault::ChunksCorrupt => self.world.fleet.origin.corrupt_next(3),
-            Fault::ChunksStall => self.world.fleet.origin.set_faults(|faults| {
+            Fault::ChunksCorrupt => self.recorded.fleet.origin.corrupt_next(3),
+            Fault::ChunksStall => self.recorded.fleet.origin.set_faults(|faults| {
                 faults.stall_next = 2;
                 faults.stall = Duration::from_millis(500);
             }),
-            Fault::PoisonRequest => self.poison(),
+            Fault::PoisonRequest => self.send_poison_request(),
             Fault::ConnectionsSilent => {
-                self.lose(host);
-                self.world.fleet.ways[host].forget_connections();
+                self.record_endpoint_lost(host);
+                self.recorded.fleet.ways[host].forget_connections();
             }
             Fault::LinkStalls => {
-                self.lose(host);
-                self.world.fleet.ways[host].set_cut(true);
+                self.record_endpoint_lost(host);
+                self.recorded.fleet.ways[host].set_cut(true);
             }
-            Fault::ZoneOffAll => self.cut_zone(active.zone),
+            Fault::ZoneOffAll => self.isolate_zone(active.zone),
             _ => {}
         }
     }
 
-    fn break_platform(&mut self, active: &Active) {
-        let fleet = &self.world.fleet;
+    fn inject_platform_fault(&mut self, active: &ActiveFault) {
+        let fleet = &self.recorded.fleet;
         match active.fault {
             Fault::PlatformDown => fleet.platform.set_faults(|faults| faults.down = true),
             Fault::PlatformSlow => {
@@ -226,62 +235,63 @@
         }
     }
 
-    fn change_config(&mut self, active: &Active) {
+    fn inject_config_change(&mut self, active: &ActiveFault) {
         match active.fault {
             Fault::VersionChanges => {
-                self.world.change_version();
+                self.recorded.switch_version();
                 self.publish();
             }
-            Fault::ZoneOut => self.take_out(active.zone),
-            Fault::OperatorsRace => self.race(),
+            Fault::ZoneOut => self.take_zone_out(active.zone),
+            Fault::OperatorsRace => self.publish_concurrently(),
             _ => {}
         }
     }
 
     fn publish(&self) -> bool {
-        self.world.publish(0, &self.world.config).is_some()
+        self.recorded.publish(0, &self.recorded.config).is_some()
     }
 
-    /// Two operators write different limits at once.
-    fn race(&mut self) {
-        let base = self.world.fleet.platform.base();
-        let mut configs = [self.world.config.clone(), self.world.config.clone()];
+    /// Publishes different limits as two operators at the same time.
+    fn publish_concurrently(&mut self) {
+        let base = self.recorded.fleet.platform.base();
+        let mut configs = [self.recorded.config.clone(), self.recorded.config.clone()];
         for config in &mut configs {
             config.limits.queue_len = self.rng.random_range(500..2_000);
         }
         thread::scope(|scope| {
             for (n, config) in (1..).zip(&configs) {
-                let (recorder, base) = (&self.world.recorder, &base);
-                scope.spawn(move || publish_recorded(recorder, base, n, config));
+                let (recorder, base) = (&self.recorded.recorder, &base);
+                scope.spawn(move || publish_and_record(recorder, base, n, config));
             }
         });
     }
 
-    /// Takes a zone out. The event that closes it needs every reachable process to know; while the
-    /// platform refuses the change there is nothing to know yet, and a zone that nobody reaches
-    /// cannot be told.
-    fn take_out(&mut self, zone: &'static str) {
-        self.world.set_zone(zone, ZoneState::Out);
-        if !self.publish() || self.unreached.contains(zone) {
+    /// Takes a zone out of service and records it as closed once the change is in force in every
+    /// reachable process. Records nothing if the platform rejected the change, or if the zone itself
+    /// is unreachable and therefore cannot receive it.
+    fn take_zone_out(&mut self, zone: &'static str) {
+        self.recorded.set_zone_state(zone, ZoneState::Out);
+        if !self.publish() || self.unreachable_zones.contains(zone) {
             return;
         }
-        let unreached: Vec<&str> = self.unreached.iter().copied().collect();
-        if self.world.wait_settled(&unreached).is_some() {
-            self.seen(PLAIN, Seen::ZoneClosed(zone.into()));
-            self.call_all();
+        let unreachable: Vec<&str> = self.unreachable_zones.iter().copied().collect();
+        if self.recorded.wait_settled(&unreachable).is_some() {
+            self.record(PLAIN_HOST, Seen::ZoneClosed(zone.into()));
+            self.send_calls();
         }
     }
 
-    /// Calls that are sure to come after what has just been recorded, whatever the callers do.
-    fn call_all(&self) {
-        for n in 0..CALLS_AFTER {
-            self.world.call(Kind::Lookup(2), n, None);
+    /// Sends requests that are guaranteed to follow the event just recorded, independent of the
+    /// progress of the callers.
+    fn send_calls(&self) {
+        for n in 0..CALLS_AFTER_CLOSING {
+            self.recorded.call(RequestKind::Lookup(2), n, None);
         }
     }
 
-    fn cut_zone(&mut self, zone: &'static str) {
-        self.unreached.insert(zone);
-        let fleet = &self.world.fleet;
+    fn isolate_zone(&mut self, zone: &'static str) {
+        self.unreachable_zones.insert(zone);
+        let fleet = &self.recorded.fleet;
         let entries = fleet.entries.iter().map(|(host, entry)| (host, entry.peers_addr()));
         let agents = fleet.agents.iter().map(|(host, agent)| (host, agent.peers_addr()));
         let (inside, outside): (Vec<_>, Vec<_>) =
@@ -291,33 +301,34 @@
             way.set_cut_peers(others.iter().map(|(_, address)| *address));
         }
         for host in fleet.agents.keys() {
-            self.lose(host);
+            self.record_endpoint_lost(host);
         }
     }
 
-    /// A request that crashes every engine, which its caller sends again and again.
-    fn poison(&mut self) {
-        for engine in self.world.fleet.engines.values() {
-            engine.set_faults(|faults| faults.poison.clone_from(&self.poison));
+    /// Sends a request that crashes every engine that runs it, and retries it.
+    fn send_poison_request(&mut self) {
+        for engine in self.recorded.fleet.engines.values() {
+            engine.set_faults(|faults| faults.poison.clone_from(&self.poison_work));
         }
-        let (caller, work) = (self.world.caller(Process::Caller(CALLERS)), self.poison.clone());
+        let (caller, work) =
+            (self.recorded.caller(Process::Caller(CALLERS)), self.poison_work.clone());
         let Ok(client) = Client::new() else {
             return;
         };
-        for n in 0..SENDS {
-            caller.call(&client, Kind::Lookup(2), n, Some(&work));
+        for n in 0..MAX_ATTEMPTS {
+            caller.call(&client, RequestKind::Lookup(2), n, Some(&work));
         }
     }
 
-    /// A planned stop, as the platform does it: the host is listed as leaving, the balancer takes
-    /// an entry out, then the process is told.
-    fn stop(&mut self, host: &HostName) {
+    /// Shuts a process down gracefully in the order of the platform: lists the host as leaving, removes
+    /// an entry from the load balancer, then stops the process.
+    fn stop_process(&mut self, host: &HostName) {
         if host.as_str().is_empty() {
             return;
         }
-        self.world.forget(host);
-        self.world.recorder.invoke(Process::Operator(0), Op::Stop(host.clone()));
-        let fleet = &mut self.world.fleet;
+        self.recorded.remove_process(host);
+        self.recorded.recorder.invoke(Process::Operator(0), Op::Stop(host.clone()));
+        let fleet = &mut self.recorded.fleet;
         fleet.unlist(host, true);
         let (entry, agent) = (fleet.entries.remove(host), fleet.agents.remove(host));
         let operators = entry.as_ref().map(Entry::operators_addr);
@@ -331,17 +342,17 @@
                     agent.stop();
                 }
             });
-            let closed = || operators.is_none_or(|operators| !is_ready(operators));
-            if wait_until(PROGRESS_LIMIT, closed).is_some() {
-                self.seen(host.as_str(), Seen::HostClosed(host.clone()));
+            let is_closed = || operators.is_none_or(|operators| !is_ready(operators));
+            if wait_until(PROGRESS_TIMEOUT, is_closed).is_some() {
+                self.record(host.as_str(), Seen::HostClosed(host.clone()));
             }
         });
-        self.world.recorder.ret(Process::Operator(0), Return::Stopped(host.clone()));
-        self.call_all();
+        self.recorded.recorder.ret(Process::Operator(0), Return::Stopped(host.clone()));
+        self.send_calls();
     }
 
-    fn mend(&mut self) -> Result<()> {
-        let fleet = &self.world.fleet;
+    fn revert_faults(&mut self) -> Result<()> {
+        let fleet = &self.recorded.fleet;
         fleet.platform.set_faults(|faults| *faults = Default::default());
         fleet.origin.set_faults(|faults| *faults = Default::default());
         fleet.plain.set_faults(|faults| *faults = Default::default());
@@ -355,28 +366,28 @@
             way.set_cut(false);
             way.set_cut_peers([]);
         }
-        for active in std::mem::take(&mut self.active) {
-            self.mend_one(&active)?;
+        for active in std::mem::take(&mut self.active_faults) {
+            self.revert_fault(&active)?;
         }
-        self.world.fleet.list();
-        self.world.refresh();
+        self.recorded.fleet.list();
+        self.recorded.update_processes();
         Ok(())
     }
 
-    fn mend_one(&mut self, active: &Active) -> Result<()> {
-        let fleet = &mut self.world.fleet;
-        let runs =
+    fn revert_fault(&mut self, active: &ActiveFault) -> Result<()> {
+        let fleet = &mut self.recorded.fleet;
+        let is_running =
             |host: &HostName| fleet.entries.contains_key(host) || fleet.agents.contains_key(host);
         match active.fault {
             Fault::HostDies | Fault::EntryDies | Fault::AgentStops | Fault::EntryStops
-                if !active.host.as_str().is_empty() && !runs(&active.host) =>
+                if !active.host.as_str().is_empty() && !is_running(&active.host) =>
             {
                 fleet.start_host(&active.host)?;
             }
             Fault::ZoneOut => {
                 let reopen = Op::Reopen(active.zone.into());
-                self.world.recorder.invoke(Process::Operator(0), reopen);
-                self.world.set_zone(active.zone, ZoneState::In);
+                self.recorded.recorder.invoke(Process::Operator(0), reopen);
+                self.recorded.set_zone_state(active.zone, ZoneState::In);
             }
             _ => {}
         }
@@ -384,24 +395,24 @@
     }
 }
 
-/// Asks for works until the round's share is done; each until it ran or there is no hope.
-fn work(caller: &Caller, seed: u64, done: &AtomicU64) {
+/// Sends the requests of one caller in turn, each until it ran or [`MAX_ATTEMPTS`] are used up.
+fn run_caller(caller: &Caller, seed: u64, completed: &AtomicU64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let Ok(client) = Client::new() else {
         return;
     };
-    for index in 0..WORKS {
-        let booking = rng.random_bool(0.3);
+    for index in 0..REQUESTS_PER_CALLER {
+        let is_booking = rng.random_bool(0.3);
         let tokens = rng.random_range(1..=MAX_TOKENS);
-        let kind = if booking { Kind::Booking } else { Kind::Lookup(tokens) };
+        let kind = if is_booking { RequestKind::Booking } else { RequestKind::Lookup(tokens) };
         let work = format!("work-{seed:x}-{index}");
-        for _ in 0..SENDS {
+        for _ in 0..MAX_ATTEMPTS {
             let outcome = caller.call(&client, kind, rng.random_range(0..64), Some(&work));
             if outcome == Some(Outcome::Ran) {
                 break;
             }
-            thread::sleep(RESEND_AFTER);
+            thread::sleep(RETRY_DELAY);
         }
-        done.fetch_add(1, Ordering::AcqRel);
+        completed.fetch_add(1, Ordering::AcqRel);
     }
 }
--- a/bench/src/faults/table.rs
+++ b/bench/src/faults/table.rs
@@ -1,56 +1,56 @@
-//! The faults of the brief and the planned changes, each to be brought about and mended.
+//! The faults and planned changes that rounds inject.
 
-/// Something that happens to a fleet.
+/// A fault or planned change that a round injects into a fleet and then reverts.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Fault {
-    /// A host with its agent and engine dies.
+    /// A host that runs an agent crashes, and its engine with it.
     HostDies,
-    /// A host with its entry dies.
+    /// A host that runs an entry crashes.
     EntryDies,
-    /// An engine's process ends and starts again.
+    /// An engine process crashes and restarts.
     EngineCrashes,
-    /// An engine turns cold without a sign.
+    /// An engine loses its loaded weights without reporting it.
     EngineCold,
-    /// The plain service ends after it ran a call and before it answers.
+    /// The plain service crashes after it has run a request and before it replies.
     ServiceCrashes,
     /// Chunks from the origin arrive corrupted.
     ChunksCorrupt,
-    /// Chunks from the origin stop halfway.
+    /// Chunk transfers from the origin stall halfway.
     ChunksStall,
-    /// The version that is served changes.
+    /// Operators change the version that is served.
     VersionChanges,
-    /// The platform refuses every call.
+    /// The platform rejects every call.
     PlatformDown,
-    /// The platform answers late.
+    /// The platform replies late.
     PlatformSlow,
-    /// The platform's answers to writes are lost after they took effect.
+    /// Replies of the platform to writes are lost after the writes took effect.
     AnswersLost,
-    /// The platform's watches lose their history.
+    /// Watches on the platform lose their change history.
     WatchGaps,
-    /// The platform's list of hosts shows an old state.
+    /// The host list of the platform is stale.
     ListLags,
-    /// One zone loses the platform, the lease's holder perhaps among it.
+    /// One zone is cut off from the platform, possibly the zone of the lease holder.
     ZoneOffPlatform,
-    /// One zone loses the platform and every other zone.
+    /// One zone is cut off from the platform and from every other zone.
     ZoneOffAll,
     /// Two operators publish at the same time.
     OperatorsRace,
-    /// A request crashes each engine that runs it, and its caller sends it again.
+    /// A request crashes every engine that runs it, and its caller retries it.
     PoisonRequest,
-    /// Open connections to a host fall silent for good while new ones work.
+    /// Open connections to a host stop carrying data for good, while new connections work.
     ConnectionsSilent,
-    /// A link to a host stalls and later works again.
+    /// The link to a host drops all traffic and recovers later.
     LinkStalls,
-    /// Operators take a zone out and bring it back.
+    /// Operators take a zone out of service and bring it back.
     ZoneOut,
-    /// An agent is stopped as planned and started again.
+    /// An agent is shut down gracefully and started again.
     AgentStops,
-    /// An entry is stopped as planned and started again.
+    /// An entry is shut down gracefully and started again.
     EntryStops,
 }
 
 impl Fault {
-    /// All of them.
+    /// Every fault, in the order of declaration.
     pub const ALL: [Fault; 22] = [
         Fault::HostDies,
         Fault::EntryDies,
@@ -77,16 +77,16 @@
     ];
 }
 
-/// What one round brings about.
+/// The faults that one round injects.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Pair {
-    /// The first fault.
+    /// The fault that is injected first.
     pub first: Fault,
-    /// Comes while the first is there; `None` when the first comes alone.
+    /// Injected while `first` is active; `None` for a round with a single fault.
     pub second: Option<Fault>,
 }
 
-/// Every fault alone, then each with every other and with itself.
+/// Returns every fault alone, then every unordered pair of faults, including a fault with itself.
 pub fn all_pairs() -> Vec<Pair> {
     let mut pairs: Vec<Pair> =
         Fault::ALL.iter().map(|first| Pair { first: *first, second: None }).collect();
--- a/bench/tests/proof/main.rs
+++ b/bench/tests/proof/main.rs
@@ -1,4 +1,4 @@
-//! Whole fleets under faults; their histories are checked.
+//! Injects faults into whole fleets and checks the recorded histories.
 
 mod outcomes;
 mod pairs;
