--- a/bench/src/lib.rs
+++ b/bench/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the experiments and the tests of whole runs share: a small fleet on stand-ins,
-//! and runs of it under faults whose histories are checked.
+//! Experiments on small fleets of entries and agents that run against stand-ins, fault injection with
+//! checked histories, and the fleet itself for end-to-end tests.
 
 pub mod bookings;
 pub mod capacity;
--- a/bench/src/main.rs
+++ b/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `mastichaven-bench`: the whole path on stand-ins, and experiments.
+//! `mastichaven-bench`: an end-to-end demonstration and experiments on stand-ins.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -22,94 +22,98 @@
 mod spread;
 mod weights;
 
-/// Runs the whole path or an experiment in one process, on stand-ins over loopback.
+/// Runs an end-to-end demonstration or an experiment in one process, on stand-ins over loopback
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, version)]
 enum Arguments {
-    /// The whole path: publish, spread weights, answer requests, take a zone out and back
+    /// Run end to end: publish, distribute weights, serve requests, take a zone out of service and back
     #[bpaf(command)]
     Demo {
         /// Also write the figures to this file
         #[bpaf(argument("FILE"), optional)]
         json: Option<PathBuf>,
     },
-    /// Membership: detection time, false suspicions, bytes a second and their slope
+    /// Measure membership: failure detection time, false suspicions, bytes per second and their slope
     #[bpaf(command)]
     Members {
         /// Also write the figures to this file
         #[bpaf(argument("FILE"), optional)]
         json: Option<PathBuf>,
     },
-    /// A change in force in every process, by the real control code over loopback QUIC
+    /// Measure how a configuration change reaches every process, with the real control code over
+    /// loopback QUIC
     #[bpaf(command)]
     Spread {
-        /// Processes
+        /// Number of processes that receive the change
         #[bpaf(argument("N"), fallback(200))]
         processes: usize,
         /// Also write the figures to this file
         #[bpaf(argument("FILE"), optional)]
         json: Option<PathBuf>,
     },
-    /// The target's deployment as a folder: time and memory to read, merge and check it
+    /// Generate the target deployment as a folder; measure time and memory to read, merge and
+    /// check it
     #[bpaf(command)]
     Config {
-        /// Where the folder is written
+        /// Folder to write the configuration to
         #[bpaf(argument("FOLDER"), fallback(PathBuf::from("out/target")))]
         out: PathBuf,
         /// Also write the figures to this file
         #[bpaf(argument("FILE"), optional)]
         json: Option<PathBuf>,
     },
-    /// Service second by second while a zone leaves and returns
+    /// Measure service second by second while a zone is taken out of service and brought back
     #[bpaf(command)]
     Zone {
         /// Also write the figures to this file
         #[bpaf(argument("FILE"), optional)]
         json: Option<PathBuf>,
     },
-    /// Service while every entry and every agent is restarted in turn
+    /// Measure service while every entry and every agent is restarted in turn
     #[bpaf(command)]
     Restart {
         /// Also write the figures to this file
         #[bpaf(argument("FILE"), optional)]
         json: Option<PathBuf>,
     },
-    /// Load against the usual ways of balancing, overload, a flood, and what an entry costs
+    /// Compare load balancing with common policies; measure overload, a flood from one customer, and
+    /// the cost of an entry
     #[bpaf(command)]
     Load {
-        /// Seconds of each run of requests
+        /// Duration of each load run in seconds
         #[bpaf(argument("SECONDS"), fallback(3))]
         seconds: u64,
         /// Also write the figures to this file
         #[bpaf(argument("FILE"), optional)]
         json: Option<PathBuf>,
     },
-    /// What an idle fleet costs as it grows, by role
+    /// Measure the resources that an idle fleet uses as it grows, by role
     #[bpaf(command)]
     Capacity {
         /// Also write the figures to this file
         #[bpaf(argument("FILE"), optional)]
         json: Option<PathBuf>,
     },
-    /// One page of plots and figures from the files that experiments wrote
+    /// Write one page of plots and figures from the JSON files of experiments
     #[bpaf(command)]
     Report(#[bpaf(external(report::options))] report::Options),
-    /// Faults alone and in pairs against whole fleets, whose histories are checked
+    /// Inject faults into whole fleets, alone and in pairs, and check the recorded histories
     #[bpaf(command)]
     Faults(#[bpaf(external(faults::command::options))] faults::command::Options),
-    /// Time and bytes until every host has a version: ways side by side, and the swarm under faults
+    /// Compare ways of weight distribution by time and bytes until every host has a version, and run
+    /// the swarm under faults
     #[bpaf(command)]
     Weights(#[bpaf(external(weights::options))] weights::Options),
-    /// Bookings that may not be repeated, under every fault at once
+    /// Send non-idempotent bookings while all faults are active
     #[bpaf(command)]
     Bookings {
-        /// Bookings
+        /// Number of bookings
         #[bpaf(argument("N"), fallback(4_000))]
         bookings: usize,
         /// Seed of the faults
         #[bpaf(argument("SEED"), fallback(1))]
         seed: u64,
-        /// Breaks nothing, to measure platform calls a booking
+        /// Inject no faults, to measure platform calls per booking
         quiet: bool,
         /// Also write the figures to this file
         #[bpaf(argument("FILE"), optional)]
@@ -128,7 +132,7 @@
         Arguments::Report(options) => report::run(&options),
         Arguments::Spread { processes, json } => spread::run(processes, json.as_deref()),
         Arguments::Config { out, json } => {
-            target::run(&out).and_then(|report| show(&report, json.as_deref()))
+            target::run(&out).and_then(|report| print_report(&report, json.as_deref()))
         }
         Arguments::Zone { json } => run_zone(json.as_deref()),
         Arguments::Restart { json } => run_restart(json.as_deref()),
@@ -147,34 +151,34 @@
 
 fn run_bookings(plan: Plan, json: Option<&Path>) -> Result<(), String> {
     let report = bookings::run(plan)?;
-    show(&report, json)?;
+    print_report(&report, json)?;
     if report.is_clean() { Ok(()) } else { Err("a promise was broken".to_owned()) }
 }
 
 fn run_load(seconds: u64, json: Option<&Path>) -> Result<(), String> {
     let report = load::run(seconds)?;
-    show(&report, json)?;
+    print_report(&report, json)?;
     let missed = report.missed();
     if missed.is_empty() { Ok(()) } else { Err(missed.join("; ")) }
 }
 
 fn run_zone(json: Option<&Path>) -> Result<(), String> {
     let report = service::zone()?;
-    show(&report, json)?;
-    let kept =
+    print_report(&report, json)?;
+    let is_clean =
         report.fell_over == 0 && report.callers.cut_off == 0 && report.callers.ran_twice == 0;
-    if kept { Ok(()) } else { Err("a promise was broken".to_owned()) }
+    if is_clean { Ok(()) } else { Err("a promise was broken".to_owned()) }
 }
 
 fn run_restart(json: Option<&Path>) -> Result<(), String> {
     let report = service::restart()?;
-    show(&report, json)?;
-    let kept =
+    print_report(&report, json)?;
+    let is_clean =
         report.fell_over == 0 && report.callers.cut_off == 0 && report.callers.ran_twice == 0;
-    if kept { Ok(()) } else { Err("a promise was broken".to_owned()) }
+    if is_clean { Ok(()) } else { Err("a promise was broken".to_owned()) }
 }
 
-fn show(report: &impl Serialize, json: Option<&Path>) -> Result<(), String> {
+fn print_report(report: &impl Serialize, json: Option<&Path>) -> Result<(), String> {
     let text = serde_json::to_string_pretty(report).map_err(|e| e.to_string())?;
     println!("{text}");
     match json {
--- a/bench/src/members.rs
+++ b/bench/src/members.rs
@@ -55,7 +55,7 @@
         "target_bytes_a_second_worked_out": worked_out,
         "half_target_bytes_a_second_simulated": target,
     });
-    figures::write(&all, json)
+    figures::print_and_write(&all, json)
 }
 
 fn measure_rest(count: usize) -> f64 {
--- a/bench/src/report.rs
+++ b/bench/src/report.rs
@@ -1,7 +1,7 @@
-//! One page of plots and figures from the JSON files of the other experiments.
+//! Writes one HTML page of plots and figures from the JSON files of other experiments.
 //!
-//! Every list of at least three objects with numbers becomes a plot over its first known axis;
-//! every single number becomes a line of a table. An experiment therefore needs no code here.
+//! A list of at least three objects with numeric fields becomes a plot over the first of [`AXES`] that
+//! fits; every other number becomes a row of a table. New experiments therefore need no code here.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -14,7 +14,7 @@
 
 use crate::fleet::Result;
 
-/// Names of fields that plots are drawn over, in order of preference.
+/// Names of fields that can serve as the x axis of a plot, in order of preference.
 const AXES: [&str; 10] = [
     "second",
     "seconds",
@@ -28,19 +28,19 @@
     "load",
 ];
 
-/// Points that a list needs to be drawn.
+/// Minimum length of a list to be plotted.
 const MIN_POINTS: usize = 3;
 
-/// Lines of one plot at most; the rest of the fields are left to the JSON file.
+/// Maximum number of lines in a plot; further fields appear only in the JSON file.
 const MAX_LINES: usize = 8;
 
 const WIDTH: u32 = 760;
 const HEIGHT: u32 = 320;
 
-/// Where figures come from and go to.
+/// Input and output files of the report.
 #[derive(Bpaf, Clone, Debug)]
 pub struct Options {
-    /// The page to write
+    /// HTML page to write
     #[bpaf(argument("FILE"), fallback(PathBuf::from("out/report.html")))]
     page: PathBuf,
     /// JSON files written by experiments with --json
@@ -48,28 +48,28 @@
     figures: Vec<PathBuf>,
 }
 
-/// Writes the page, and all figures beside it as one JSON file.
+/// Writes the page, and all figures next to it as one JSON file with the same stem.
 pub fn run(options: &Options) -> Result<()> {
-    let mut all = BTreeMap::new();
+    let mut experiments = BTreeMap::new();
     let mut body = String::new();
     for file in &options.figures {
         let text = fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
         let value: Value =
             serde_json::from_str(&text).map_err(|e| format!("{}: {e}", file.display()))?;
         let name = file.file_stem().map_or_else(String::new, |s| s.to_string_lossy().into_owned());
-        body.push_str(&section(&name, &value)?);
-        all.insert(name, value);
+        body.push_str(&render_section(&name, &value)?);
+        experiments.insert(name, value);
     }
-    if all.is_empty() {
-        return Err("no figures are given".to_owned());
+    if experiments.is_empty() {
+        return Err("no files with figures are given".to_owned());
     }
     if let Some(folder) = options.page.parent() {
         fs::create_dir_all(folder).map_err(|e| e.to_string())?;
     }
-    write(&options.page, &page(&body))?;
-    let figures = serde_json::to_string_pretty(&all).map_err(|e| e.to_string())?;
+    write(&options.page, &render_page(&body))?;
+    let figures = serde_json::to_string_pretty(&experiments).map_err(|e| e.to_string())?;
     write(&options.page.with_extension("json"), &figures)?;
-    println!("{} experiments in {}", all.len(), options.page.display());
+    println!("{} experiments in {}", experiments.len(), options.page.display());
     Ok(())
 }
 
@@ -77,7 +77,7 @@
     fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))
 }
 
-fn page(body: &str) -> String {
+fn render_page(body: &str) -> String {
     format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
          <title>mastichaven: measurements</title><style>body{{font-family:sans-serif;\
@@ -86,45 +86,45 @@
     )
 }
 
-fn section(name: &str, value: &Value) -> Result<String> {
-    let mut found = Found::default();
-    found.walk("", value);
-    let mut text = format!("<h2>{}</h2>\n", escape(name));
-    for (path, points) in &found.lists {
-        text.push_str(&plot(path, points)?);
+fn render_section(name: &str, value: &Value) -> Result<String> {
+    let mut extracted = ExtractedFigures::default();
+    extracted.collect("", value);
+    let mut text = format!("<h2>{}</h2>\n", escape_html(name));
+    for (path, points) in &extracted.lists {
+        text.push_str(&render_plot(path, points)?);
     }
     text.push_str("<table>\n");
-    for (path, number) in &found.numbers {
-        text.push_str(&format!("<tr><td>{}</td><td>{number}</td></tr>\n", escape(path)));
+    for (path, number) in &extracted.numbers {
+        text.push_str(&format!("<tr><td>{}</td><td>{number}</td></tr>\n", escape_html(path)));
     }
     text.push_str("</table>\n");
     Ok(text)
 }
 
-/// Numbers and lists of points in a file, by their paths.
+/// Numbers and plottable lists of a JSON file, each with its slash-separated path.
 #[derive(Default)]
-struct Found<'a> {
+struct ExtractedFigures<'a> {
     numbers: Vec<(String, f64)>,
     lists: Vec<(String, &'a [Value])>,
 }
 
-impl<'a> Found<'a> {
-    fn walk(&mut self, path: &str, value: &'a Value) {
+impl<'a> ExtractedFigures<'a> {
+    fn collect(&mut self, path: &str, value: &'a Value) {
         match value {
             Value::Number(number) => {
                 self.numbers.push((path.to_owned(), number.as_f64().unwrap_or_default()));
             }
-            Value::Array(points) if is_drawn(points) => {
+            Value::Array(points) if is_plottable(points) => {
                 self.lists.push((path.to_owned(), points));
             }
             Value::Array(items) => {
                 for (n, item) in items.iter().enumerate() {
-                    self.walk(&format!("{path}/{n}"), item);
+                    self.collect(&format!("{path}/{n}"), item);
                 }
             }
             Value::Object(fields) => {
                 for (name, field) in fields {
-                    self.walk(format!("{path}/{name}").trim_start_matches('/'), field);
+                    self.collect(format!("{path}/{name}").trim_start_matches('/'), field);
                 }
             }
             _ => {}
@@ -132,31 +132,31 @@
     }
 }
 
-fn is_drawn(points: &[Value]) -> bool {
+fn is_plottable(points: &[Value]) -> bool {
     points.len() >= MIN_POINTS && axis_of(points).is_some()
 }
 
-/// The first field of [`AXES`] that all points have and that is not the same in all.
+/// Returns the first of [`AXES`] that is a number in all points and differs between some of them.
 fn axis_of(points: &[Value]) -> Option<&'static str> {
-    AXES.iter().find(|axis| differs(points, axis)).copied()
+    AXES.iter().find(|axis| is_varying(points, axis)).copied()
 }
 
-/// Whether all points have a number of this name, and not the same one.
-fn differs(points: &[Value], name: &str) -> bool {
+/// Returns whether the field is a number in all points and differs between some of them.
+fn is_varying(points: &[Value], name: &str) -> bool {
     let first = points[0][name].as_f64();
     points.iter().all(|point| point[name].is_number())
         && points.iter().any(|point| point[name].as_f64() != first)
 }
 
-/// One plot of every numeric field over the axis, each line as a share of its largest value.
-fn plot(title: &str, points: &[Value]) -> Result<String> {
-    let axis = axis_of(points).ok_or("a list without an axis")?;
+/// Renders an SVG plot of the numeric fields over the axis. Each line is scaled to its largest value.
+fn render_plot(title: &str, points: &[Value]) -> Result<String> {
+    let axis = axis_of(points).ok_or("the list has no field that can be an axis")?;
     let text = |e: &dyn std::fmt::Display| e.to_string();
-    let at = |point: &Value| point[axis].as_f64().unwrap_or_default();
-    let (low, high) = bounds(points.iter().map(at));
+    let x_value = |point: &Value| point[axis].as_f64().unwrap_or_default();
+    let (low, high) = value_range(points.iter().map(x_value));
     let names: Vec<&String> = points[0].as_object().map_or_else(Vec::new, |fields| {
-        let drawn = |(name, _): &(&String, &Value)| *name != axis && differs(points, name);
-        fields.iter().filter(drawn).map(|(name, _)| name).take(MAX_LINES).collect()
+        let is_plotted = |(name, _): &(&String, &Value)| *name != axis && is_varying(points, name);
+        fields.iter().filter(is_plotted).map(|(name, _)| name).take(MAX_LINES).collect()
     });
     let mut svg = String::new();
     {
@@ -177,13 +177,13 @@
             .map_err(|e| text(&e))?;
         for (n, name) in names.into_iter().enumerate() {
             let value = |point: &Value| point[name].as_f64().unwrap_or_default();
-            let most = points.iter().map(value).fold(f64::MIN_POSITIVE, f64::max);
-            let line = points.iter().map(|point| (at(point), value(point) / most));
+            let max = points.iter().map(value).fold(f64::MIN_POSITIVE, f64::max);
+            let line = points.iter().map(|point| (x_value(point), value(point) / max));
             let style = Palette99::pick(n).stroke_width(2);
             chart
                 .draw_series(LineSeries::new(line, style))
                 .map_err(|e| text(&e))?
-                .label(format!("{name}, most {most:.4}"))
+                .label(format!("{name}, most {max:.4}"))
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], style));
         }
         chart
@@ -197,10 +197,10 @@
     Ok(svg)
 }
 
-fn bounds(values: impl Iterator<Item = f64>) -> (f64, f64) {
+fn value_range(values: impl Iterator<Item = f64>) -> (f64, f64) {
     values.fold((f64::MAX, f64::MIN), |(low, high), value| (low.min(value), high.max(value)))
 }
 
-fn escape(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
--- a/bench/src/spread.rs
+++ b/bench/src/spread.rs
@@ -263,7 +263,7 @@
         "bytes_sent_a_process_a_change": (sent(&all) - bytes) as f64 / count as f64 / 25.0,
     });
     all.iter().for_each(|process| process.over.store(true, Ordering::Release));
-    figures::write(&figures, json)
+    figures::print_and_write(&figures, json)
 }
 
 /// Reads, writes and watches counted so far.
