--- a/bench/tests/callers/bounds.rs
+++ b/bench/tests/callers/bounds.rs
@@ -1,4 +1,4 @@
-//! Bodies and writes within their bounds of time and size.
+//! Time and size limits on request bodies and on writes of replies.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -13,18 +13,19 @@
 use mastichaven_node::callers::read_body;
 use tokio::io::AsyncWriteExt;
 
-/// A bound that any machine reaches soon; what is tested is that it ends at all.
-const SHORT: Duration = Duration::from_millis(20);
+/// Expires soon on any machine; the tests check only that the operation ends.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(20);
 
-const LONG: Duration = Duration::from_secs(3_600);
+/// Never expires during a test.
+const LONG_TIMEOUT: Duration = Duration::from_secs(3_600);
 
 fn block_on<F: Future>(future: F) -> F::Output {
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(future)
 }
 
-/// A body of one byte, after which nothing comes and which does not end.
-fn silent_body() -> StreamBody<flume::r#async::RecvStream<'static, Result<Frame<Bytes>, Infallible>>>
-{
+/// Returns a body that yields one byte and then neither data nor an end.
+fn stalled_body()
+-> StreamBody<flume::r#async::RecvStream<'static, Result<Frame<Bytes>, Infallible>>> {
     let (tx, rx) = flume::bounded(1);
     tx.send(Ok(Frame::data(Bytes::from_static(b"x")))).unwrap();
     std::mem::forget(tx);
@@ -32,50 +33,51 @@
 }
 
 #[test]
-fn read_body_of_silent_caller_ends() {
-    // A caller announces a body and stops in the middle of it. Without a bound, an entry that is to
-    // stop would wait for it for ever.
-    for bounds in [
-        BodyLimits { max_len: 10, chunk_timeout: SHORT, total_timeout: LONG },
-        BodyLimits { max_len: 10, chunk_timeout: LONG, total_timeout: SHORT },
+fn read_body_stalled_times_out() {
+    // A caller stops sending in the middle of the body that it announced. Without a timeout, an entry
+    // that shuts down would wait for it forever.
+    for limits in [
+        BodyLimits { max_len: 10, chunk_timeout: SHORT_TIMEOUT, total_timeout: LONG_TIMEOUT },
+        BodyLimits { max_len: 10, chunk_timeout: LONG_TIMEOUT, total_timeout: SHORT_TIMEOUT },
     ] {
-        assert_eq!(block_on(read_body(silent_body(), bounds)), Err(Code::SlowCaller));
+        assert_eq!(block_on(read_body(stalled_body(), limits)), Err(Code::SlowCaller));
     }
 }
 
 #[test]
-fn read_body_at_and_over_limit() {
-    let bounds = BodyLimits { max_len: 4, chunk_timeout: LONG, total_timeout: LONG };
-    let read = |text: &'static str| block_on(read_body(Full::new(Bytes::from(text)), bounds));
+fn read_body_at_and_above_max_len() {
+    let limits =
+        BodyLimits { max_len: 4, chunk_timeout: LONG_TIMEOUT, total_timeout: LONG_TIMEOUT };
+    let read = |text: &'static str| block_on(read_body(Full::new(Bytes::from(text)), limits));
     assert_eq!(read("1234"), Ok(Bytes::from("1234")));
     assert_eq!(read("12345"), Err(Code::TooLarge));
 }
 
 #[test]
-fn write_to_reader_that_stopped_ends() {
-    // A caller stops reading its answer but keeps the connection. Its request would hold its place
-    // in the engine until the deadline.
+fn write_to_stalled_reader_times_out() {
+    // A caller stops reading its reply but keeps the connection open. Without a timeout its request
+    // would occupy a slot of the engine until the deadline.
     block_on(async {
-        let (near, _far) = tokio::io::duplex(4);
-        let mut near = WriteTimeout::new(near, SHORT);
-        let written = near.write_all(b"more than fits").await;
+        let (writer, _peer) = tokio::io::duplex(4);
+        let mut writer = WriteTimeout::new(writer, SHORT_TIMEOUT);
+        let written = writer.write_all(b"more than fits").await;
         assert_eq!(written.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
     });
 }
 
 #[test]
-fn write_to_slow_reader_goes_on() {
-    // Each piece is taken within the bound, so that a slow caller still gets its whole answer.
+fn write_to_slow_reader_completes() {
+    // The timeout applies to each write, so that a slow caller still gets its whole reply.
     block_on(async {
-        let (near, mut far) = tokio::io::duplex(4);
-        let mut near = WriteTimeout::new(near, LONG);
+        let (writer, mut peer) = tokio::io::duplex(4);
+        let mut writer = WriteTimeout::new(writer, LONG_TIMEOUT);
         let reader = tokio::spawn(async move {
             let mut buf = Vec::new();
-            tokio::io::AsyncReadExt::read_to_end(&mut far, &mut buf).await.unwrap();
+            tokio::io::AsyncReadExt::read_to_end(&mut peer, &mut buf).await.unwrap();
             buf
         });
-        near.write_all(b"more than fits").await.unwrap();
-        drop(near);
+        writer.write_all(b"more than fits").await.unwrap();
+        drop(writer);
         assert_eq!(reader.await.unwrap(), b"more than fits");
     });
 }
--- a/bench/tests/callers/main.rs
+++ b/bench/tests/callers/main.rs
@@ -1,4 +1,4 @@
-//! The callers' port, on a small fleet: what callers do wrong harms themselves alone.
+//! Callers port and operators port of a small fleet. A misbehaving caller must not affect others.
 
 mod bounds;
 mod operators;
