--- a/bench/src/report.rs
+++ b/bench/src/report.rs
@@ -1,6 +1,6 @@
 //! Writes one HTML page of plots and figures from the JSON files of other experiments.
 //!
-//! A list of at least three objects with numeric fields becomes a plot over the first of [`AXES`] that
+//! A list of at least three objects with numeric fields becomes a plot over the first of `AXES` that
 //! fits; every other number becomes a row of a table. New experiments therefore need no code here.
 
 use std::collections::BTreeMap;
@@ -177,13 +177,13 @@
             .map_err(|e| text(&e))?;
         for (n, name) in names.into_iter().enumerate() {
             let value = |point: &Value| point[name].as_f64().unwrap_or_default();
-            let max = points.iter().map(value).fold(f64::MIN_POSITIVE, f64::max);
-            let line = points.iter().map(|point| (x_value(point), value(point) / max));
+            let peak = points.iter().map(value).fold(f64::MIN_POSITIVE, f64::max);
+            let line = points.iter().map(|point| (x_value(point), value(point) / peak));
             let style = Palette99::pick(n).stroke_width(2);
             chart
                 .draw_series(LineSeries::new(line, style))
                 .map_err(|e| text(&e))?
-                .label(format!("{name}, most {max:.4}"))
+                .label(format!("{name}, most {peak:.4}"))
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], style));
         }
         chart
