--- a/bench/src/faults/recorded_fleet.rs
+++ b/bench/src/faults/recorded_fleet.rs
@@ -387,15 +387,15 @@
 }
 
 fn endpoint_observer(recorder: Recorder, host: HostName, zone: &'static str) -> Observer {
-    use mastichaven_standins::Seen as EndpointEvent;
+    use mastichaven_standins::EndpointEvent;
     Arc::new(move |seen| {
         let seen = match seen {
-            EndpointEvent::Began { work, start, running, bears } => {
+            EndpointEvent::Began { work, start, running, capacity } => {
                 let (work, zone) = (work.into(), zone.into());
-                Seen::Began { work, zone, start, running, bears }
+                Seen::Began { work, zone, start, running, bears: capacity }
             }
             EndpointEvent::Ended { work, whole } => Seen::Ended { work: work.into(), whole },
-            EndpointEvent::Lost => Seen::Lost,
+            EndpointEvent::Restarted => Seen::Lost,
             EndpointEvent::Loaded { version, weights } => {
                 Seen::Loaded { version: Digest::from_hex(&version).unwrap_or_default(), weights }
             }
--- a/bench/src/faults/round.rs
+++ b/bench/src/faults/round.rs
@@ -205,11 +205,11 @@
             Fault::PoisonRequest => self.send_poison_request(),
             Fault::ConnectionsSilent => {
                 self.record_endpoint_lost(host);
-                self.recorded.fleet.ways[host].forget_connections();
+                self.recorded.fleet.ways[host].blackhole_connections();
             }
             Fault::LinkStalls => {
                 self.record_endpoint_lost(host);
-                self.recorded.fleet.ways[host].set_cut(true);
+                self.recorded.fleet.ways[host].set_partitioned(true);
             }
             Fault::ZoneOffAll => self.isolate_zone(active.zone),
             _ => {}
@@ -298,7 +298,7 @@
             entries.chain(agents).partition(|(host, _)| fleet.zone_of(host) == Some(zone));
         for (host, way) in &fleet.ways {
             let others = if fleet.zone_of(host) == Some(zone) { &outside } else { &inside };
-            way.set_cut_peers(others.iter().map(|(_, address)| *address));
+            way.set_partitioned_peers(others.iter().map(|(_, address)| *address));
         }
         for host in fleet.agents.keys() {
             self.record_endpoint_lost(host);
@@ -363,8 +363,8 @@
             fleet.cut_from_platform(zone, false);
         }
         for way in fleet.ways.values() {
-            way.set_cut(false);
-            way.set_cut_peers([]);
+            way.set_partitioned(false);
+            way.set_partitioned_peers([]);
         }
         for active in std::mem::take(&mut self.active_faults) {
             self.revert_fault(&active)?;
--- a/node/src/direct/agent/setup.rs
+++ b/node/src/direct/agent/setup.rs
@@ -90,7 +90,7 @@
             Ok((objects, _)) => objects,
             Err(e) => return self.record_store_failure(Kind::Config, e.as_str()),
         };
-        let Some(catalog) = objects.iter().find_map(config::scan_config) else {
+        let Some(catalog) = objects.iter().find_map(config::parse_config) else {
             return;
         };
         let own = self.cfg.service.as_ref().and_then(|service| catalog.model_setup(service));
@@ -181,7 +181,7 @@
         let layers_of =
             |service: &ServiceName| if own.as_ref() == Some(service) { layers } else { None };
         let listed =
-            objects.iter().filter_map(|object| endpoints::scan_endpoint(object, layers_of));
+            objects.iter().filter_map(|object| endpoints::parse_endpoint(object, layers_of));
         let peer =
             |listed: EndpointRecord| PeerEndpoint { address: listed.address, zone: listed.zone };
         self.set_peers(listed.filter(|listed| listed.is_engine).map(peer).collect());
@@ -219,7 +219,7 @@
             Ok((objects, _)) => objects,
             Err(e) => return self.record_store_failure(Kind::Weights, e.as_str()),
         };
-        let records = objects.iter().filter_map(weights::scan_newest);
+        let records = objects.iter().filter_map(weights::parse_newest_version);
         let version =
             records.filter(|newest| newest.model == model).map(|newest| newest.version).max();
         self.record_announcement(&model, version.unwrap_or(INITIAL_VERSION));
--- a/node/tests/requests/connection_loss.rs
+++ b/node/tests/requests/connection_loss.rs
@@ -15,7 +15,7 @@
 use mastichaven_node::tls::DevelopmentCa;
 use mastichaven_node::tls::Role;
 use mastichaven_node::transport::Transport;
-use mastichaven_standins::datagrams::DatagramDoor;
+use mastichaven_standins::udp_proxy::UdpProxy;
 
 const ASK_TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -23,7 +23,7 @@
 /// a delay.
 struct Link {
     client: Transport,
-    proxy: DatagramDoor,
+    proxy: UdpProxy,
     request: RequestMessage,
 }
 
@@ -36,8 +36,8 @@
     let client = start("asker", Role::Entry, flume::bounded(1).0);
     let (tx, rx) = flume::bounded(16);
     let server = start("answerer", Role::Agent, tx);
-    let proxy = DatagramDoor::open("127.0.0.1:0").unwrap();
-    proxy.lead_to(server.local_addr());
+    let proxy = UdpProxy::open("127.0.0.1:0").unwrap();
+    proxy.set_target(server.local_addr());
     thread::spawn(move || {
         let _server = server;
         for incoming in rx {
@@ -58,22 +58,22 @@
 // idle timeout of the connection, and the next request must succeed. The timeouts are loose for
 // busy machines.
 #[test]
-fn ask_one_on_silent_connection() {
+fn call_unary_on_silent_connection() {
     let link = connect(Duration::ZERO);
-    assert!(link.client.ask_one(link.proxy.address(), &link.request, ASK_TIMEOUT).is_ok());
-    link.proxy.forget_connections();
+    assert!(link.client.call_unary(link.proxy.address(), &link.request, ASK_TIMEOUT).is_ok());
+    link.proxy.blackhole_connections();
     let sent_at = Instant::now();
-    let lost = link.client.ask_one(link.proxy.address(), &link.request, ASK_TIMEOUT);
+    let lost = link.client.call_unary(link.proxy.address(), &link.request, ASK_TIMEOUT);
     println!("failed after {:?}", sent_at.elapsed());
     assert_eq!(lost.unwrap_err(), Code::PeerLost);
-    assert!(link.client.ask_one(link.proxy.address(), &link.request, ASK_TIMEOUT).is_ok());
+    assert!(link.client.call_unary(link.proxy.address(), &link.request, ASK_TIMEOUT).is_ok());
 }
 
 // A slow peer must not be treated as a lost connection, because a retry would run the request
 // twice.
 #[test]
-fn ask_one_to_slow_peer() {
+fn call_unary_to_slow_peer() {
     let link = connect(Duration::from_secs(4));
     let address = link.proxy.address();
-    assert!(link.client.ask_one(address, &link.request, ASK_TIMEOUT).is_ok());
+    assert!(link.client.call_unary(address, &link.request, ASK_TIMEOUT).is_ok());
 }
