--- a/bench/src/faults/command.rs
+++ b/bench/src/faults/command.rs
@@ -13,7 +13,7 @@
 use super::table::all_pairs;
 use crate::fleet::Result;
 
-/// Options of the subcommand.
+/// Number and selection of the runs, and the output file.
 #[derive(Bpaf, Clone, Debug)]
 pub struct Options {
     /// Number of runs over all pairs, each shuffled with its own seed
--- a/bench/src/faults/round.rs
+++ b/bench/src/faults/round.rs
@@ -296,9 +296,9 @@
         let agents = fleet.agents.iter().map(|(host, agent)| (host, agent.peers_addr()));
         let (inside, outside): (Vec<_>, Vec<_>) =
             entries.chain(agents).partition(|(host, _)| fleet.zone_of(host) == Some(zone));
-        for (host, way) in &fleet.ways {
+        for (host, link) in &fleet.ways {
             let others = if fleet.zone_of(host) == Some(zone) { &outside } else { &inside };
-            way.set_partitioned_peers(others.iter().map(|(_, address)| *address));
+            link.set_partitioned_peers(others.iter().map(|(_, address)| *address));
         }
         for host in fleet.agents.keys() {
             self.record_endpoint_lost(host);
@@ -362,9 +362,9 @@
         for (zone, _) in ZONES {
             fleet.cut_from_platform(zone, false);
         }
-        for way in fleet.ways.values() {
-            way.set_partitioned(false);
-            way.set_partitioned_peers([]);
+        for link in fleet.ways.values() {
+            link.set_partitioned(false);
+            link.set_partitioned_peers([]);
         }
         for active in std::mem::take(&mut self.active_faults) {
             self.revert_fault(&active)?;
