--- a/bench/src/members.rs
+++ b/bench/src/members.rs
@@ -56,7 +56,7 @@
         "target_bytes_a_second_worked_out": extrapolated,
         "half_target_bytes_a_second_simulated": half_target,
     });
-    figures::write(&all, json)
+    figures::print_and_write(&all, json)
 }
 
 fn measure_idle_rate(count: usize) -> f64 {
--- a/bench/src/spread.rs
+++ b/bench/src/spread.rs
@@ -267,7 +267,7 @@
         "bytes_sent_a_process_a_change": (sent_bytes(&all) - bytes) as f64 / count as f64 / 25.0,
     });
     all.iter().for_each(|process| process.is_over.store(true, Ordering::Release));
-    figures::write(&figures, json)
+    figures::print_and_write(&figures, json)
 }
 
 /// Reads, writes and watches that the platform has counted since its start.
