--- a/core/src/direct/subscribers.rs
+++ b/core/src/direct/subscribers.rs
@@ -64,7 +64,7 @@
 
 /// Number of entries in the fleet, as seen by one agent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct EntryCount {
+pub struct ObservedEntryCount {
     /// Number of known entries.
     pub entries: u32,
     /// Whether the count includes all entries.
@@ -89,17 +89,17 @@
 
     /// Counts the entries of the fleet for an agent that started at `started`. An agent that has just started
     /// relies on the counts of other agents, as reported by entries.
-    pub fn count(&self, started: Time, now: Time) -> EntryCount {
+    pub fn count(&self, started: Time, now: Time) -> ObservedEntryCount {
         let live = self.len(now) as u32;
         if now.passed(started, COUNT_SETTLE_DELAY) {
-            return EntryCount { entries: live, is_complete: true };
+            return ObservedEntryCount { entries: live, is_complete: true };
         }
         if let Some(reported) = self.live(now).filter_map(|(_, entry)| entry.entries).max() {
-            return EntryCount { entries: live.max(reported), is_complete: true };
+            return ObservedEntryCount { entries: live.max(reported), is_complete: true };
         }
         let is_complete =
             self.first_request_at.is_some_and(|at| now.passed(at, COLD_START_SETTLE_DELAY));
-        EntryCount { entries: live, is_complete }
+        ObservedEntryCount { entries: live, is_complete }
     }
 
     /// Number of entries that receive load reports.
--- a/core/tests/direct/subscribers.rs
+++ b/core/tests/direct/subscribers.rs
@@ -3,7 +3,7 @@
 
 use mastichaven_core::Time;
 use mastichaven_core::direct::replication::Offer;
-use mastichaven_core::direct::subscribers::EntryCount;
+use mastichaven_core::direct::subscribers::ObservedEntryCount;
 use mastichaven_core::direct::subscribers::Subscriber;
 use mastichaven_core::direct::subscribers::Subscribers;
 
@@ -104,7 +104,7 @@
     let mut subscribers = Subscribers::default();
     let with_count = Subscriber { entries: Some(36), ..subscriber(None, 0, 5_000) };
     subscribers.renew(address(1), with_count);
-    let expected = EntryCount { entries: 36, is_complete: true };
+    let expected = ObservedEntryCount { entries: 36, is_complete: true };
     assert_eq!(subscribers.count(now(4_900), now(5_010)), expected);
     // After the settle delay the agent uses its own count, because entries may have been removed.
     subscribers.renew(address(1), Subscriber { received_at: now(6_800), ..with_count });
@@ -122,7 +122,7 @@
     assert!(!subscribers.count(now(0), now(500)).is_complete);
     assert_eq!(
         subscribers.count(now(0), now(1_100)),
-        EntryCount { entries: 20, is_complete: true }
+        ObservedEntryCount { entries: 20, is_complete: true }
     );
 }
 
--- a/node/src/direct/attempt.rs
+++ b/node/src/direct/attempt.rs
@@ -49,7 +49,7 @@
 
 /// A successful response whose body has yet to be read.
 #[derive(Debug)]
-pub(super) struct EndpointResponse {
+pub(super) struct AttemptResponse {
     pub(super) record: EndpointRecord,
     pub(super) connection: HttpConnection,
     pub(super) place: InFlightGuard,
@@ -59,7 +59,7 @@
 /// How an attempt at one endpoint ended.
 pub(super) enum AttemptOutcome {
     /// The endpoint has begun a successful response.
-    Responding(Box<EndpointResponse>),
+    Responding(Box<AttemptResponse>),
     /// The endpoint ran the request and answered with this error response.
     Failed(Response<Bytes>),
     /// The request has provably not run.
@@ -135,7 +135,7 @@
     };
     let id = call.head.id.as_deref();
     match answer::classify(response.status(), response.headers(), id) {
-        AnswerKind::Success => AttemptOutcome::Responding(Box::new(EndpointResponse {
+        AnswerKind::Success => AttemptOutcome::Responding(Box::new(AttemptResponse {
             record,
             connection,
             place,
--- a/node/src/direct/chunk_server.rs
+++ b/node/src/direct/chunk_server.rs
@@ -98,27 +98,27 @@
     while state.chunks.is_wanted(req.digest, state.now()) {
         match fetch_once(&state, &req).await {
             Ok(content) => return state.chunks.set_content(req.digest, content),
-            Err(FetchError::Deferred) => {}
-            Err(FetchError::Failed) => sleep(FETCH_RETRY_DELAY).await,
+            Err(ChunkFetchError::Deferred) => {}
+            Err(ChunkFetchError::Failed) => sleep(FETCH_RETRY_DELAY).await,
         }
     }
     state.chunks.remove(req.digest);
 }
 
 /// Why a chunk was not fetched.
-enum FetchError {
+enum ChunkFetchError {
     /// The puller does not have it yet, or it is abandoned in favour of a newer version.
     Deferred,
     Failed,
 }
 
-async fn fetch_once(state: &State, req: &ChunkRequest) -> Result<Content, FetchError> {
+async fn fetch_once(state: &State, req: &ChunkRequest) -> Result<Content, ChunkFetchError> {
     if let Some(puller) = req.puller {
         match fetch_from_puller(state, puller, req).await {
             Ok(bytes) => return verify(state, req, bytes),
-            Err(FetchError::Deferred) => return Err(FetchError::Deferred),
+            Err(ChunkFetchError::Deferred) => return Err(ChunkFetchError::Deferred),
             // If the puller fails, the chunk is fetched from the origin instead.
-            Err(FetchError::Failed) => {}
+            Err(ChunkFetchError::Failed) => {}
         }
     } else if let Some(bytes) = fetch_from_host(state, req).await {
         return verify(state, req, bytes);
@@ -127,30 +127,30 @@
 }
 
 /// Returns the chunk if it matches its digest.
-fn verify(state: &State, req: &ChunkRequest, bytes: Bytes) -> Result<Content, FetchError> {
+fn verify(state: &State, req: &ChunkRequest, bytes: Bytes) -> Result<Content, ChunkFetchError> {
     if sha256(&bytes) == req.digest {
         return Ok(Content::Available(bytes));
     }
     state.metrics.count("chunks_corrupt");
-    Err(FetchError::Failed)
+    Err(ChunkFetchError::Failed)
 }
 
 async fn fetch_from_puller(
     state: &State,
     puller: IpAddr,
     req: &ChunkRequest,
-) -> Result<Bytes, FetchError> {
+) -> Result<Bytes, ChunkFetchError> {
     let address = SocketAddr::new(puller, state.cfg.agent_port);
     let hello = Hello::Chunk(ChunkRequest { puller: None, ..req.clone() });
     let slots = &state.chunks.download_slots;
     match peers::fetch_chunk(address, &hello, FIRST_REPLY_TIMEOUT, TRANSFER_TIMEOUT, slots).await {
         Ok(Ok(bytes)) => Ok(bytes),
-        Ok(Err(PeerReply::NotYet)) => Err(FetchError::Deferred),
-        Ok(Err(_)) => Err(FetchError::Failed),
+        Ok(Err(PeerReply::NotYet)) => Err(ChunkFetchError::Deferred),
+        Ok(Err(_)) => Err(ChunkFetchError::Failed),
         Err(e) => {
             slog::info!(state.log, "chunk request failed"; "entry" => address.to_string(),
                 "version" => req.version, "error" => e.as_str());
-            Err(FetchError::Failed)
+            Err(ChunkFetchError::Failed)
         }
     }
 }
@@ -185,12 +185,12 @@
     }
 }
 
-async fn fetch_from_origin(state: &State, req: &ChunkRequest) -> Result<Content, FetchError> {
+async fn fetch_from_origin(state: &State, req: &ChunkRequest) -> Result<Content, ChunkFetchError> {
     let address = state.catalog.borrow().as_ref().and_then(|c| Some(c.origin()?.address));
-    let address = address.ok_or(FetchError::Failed)?;
-    let _permit = state.chunks.origin_slots.acquire().await.map_err(|_| FetchError::Failed)?;
+    let address = address.ok_or(ChunkFetchError::Failed)?;
+    let _permit = state.chunks.origin_slots.acquire().await.map_err(|_| ChunkFetchError::Failed)?;
     if state.chunks.is_abandoned(req.digest) {
-        return Err(FetchError::Deferred);
+        return Err(ChunkFetchError::Deferred);
     }
     let path = origin_paths::chunk_path(&req.model, req.version, req.index as usize);
     match origin::fetch(address, &path).await {
@@ -209,7 +209,7 @@
             }
             match e {
                 OriginError::Refused(_) => Ok(Content::Absent),
-                OriginError::Unreachable | OriginError::NoReply => Err(FetchError::Failed),
+                OriginError::Unreachable | OriginError::NoReply => Err(ChunkFetchError::Failed),
             }
         }
     }
--- a/node/src/direct/forward.rs
+++ b/node/src/direct/forward.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use super::attempt::AttemptOutcome;
-use super::attempt::EndpointResponse;
+use super::attempt::AttemptResponse;
 use super::attempt::MAX_RESPONSE_LEN;
 use super::attempt::record_failed_attempt;
 use super::attempt::send_to_endpoint;
@@ -117,9 +117,9 @@
 async fn read_response(
     state: &State,
     call: &Call,
-    response: EndpointResponse,
+    response: AttemptResponse,
 ) -> std::result::Result<Response<ResponseBody>, ConnectionError> {
-    let EndpointResponse { record, mut connection, place, response } = response;
+    let AttemptResponse { record, mut connection, place, response } = response;
     let keep_alive = pool::parse_keep_alive(response.headers());
     let (head, body) = response.into_parts();
     let remaining = call.deadline.since(state.now());
--- a/node/src/direct/gateway.rs
+++ b/node/src/direct/gateway.rs
@@ -39,7 +39,7 @@
 
 /// Why a request was rejected before it was forwarded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Rejection {
+enum RejectionReason {
     /// The lease on the configuration has expired.
     StaleConfig,
     /// The entry has just started and has not yet received all the state that routing needs.
@@ -51,41 +51,43 @@
     BodyBroken,
 }
 
-impl Rejection {
+impl RejectionReason {
     fn status(self) -> StatusCode {
         match self {
-            Rejection::StaleConfig | Rejection::Starting => StatusCode::SERVICE_UNAVAILABLE,
-            Rejection::UnknownRoute => StatusCode::NOT_FOUND,
-            Rejection::UnknownKey => StatusCode::UNAUTHORIZED,
-            Rejection::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            Rejection::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
-            Rejection::BodyBroken => StatusCode::BAD_REQUEST,
+            RejectionReason::StaleConfig | RejectionReason::Starting => {
+                StatusCode::SERVICE_UNAVAILABLE
+            }
+            RejectionReason::UnknownRoute => StatusCode::NOT_FOUND,
+            RejectionReason::UnknownKey => StatusCode::UNAUTHORIZED,
+            RejectionReason::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            RejectionReason::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
+            RejectionReason::BodyBroken => StatusCode::BAD_REQUEST,
         }
     }
 
     fn refusal_cause(self, state: &State) -> RefusalCause {
         match self {
-            Rejection::Starting => RefusalCause::Starting,
-            Rejection::StaleConfig => {
+            RejectionReason::Starting => RefusalCause::Starting,
+            RejectionReason::StaleConfig => {
                 RefusalCause::NoLease { is_held_in_region: state.has_fresh_neighbour.get() }
             }
-            Rejection::UnknownRoute
-            | Rejection::UnknownKey
-            | Rejection::BodyTooLong
-            | Rejection::BodyTooSlow
-            | Rejection::BodyBroken => RefusalCause::Other,
+            RejectionReason::UnknownRoute
+            | RejectionReason::UnknownKey
+            | RejectionReason::BodyTooLong
+            | RejectionReason::BodyTooSlow
+            | RejectionReason::BodyBroken => RefusalCause::Other,
         }
     }
 
     fn as_str(self) -> &'static str {
         match self {
-            Rejection::StaleConfig => "configuration too old",
-            Rejection::Starting => "not all known yet",
-            Rejection::UnknownRoute => "unknown route",
-            Rejection::UnknownKey => "unknown key",
-            Rejection::BodyTooLong => "body too long",
-            Rejection::BodyTooSlow => "body too slow",
-            Rejection::BodyBroken => "body broken",
+            RejectionReason::StaleConfig => "configuration too old",
+            RejectionReason::Starting => "not all known yet",
+            RejectionReason::UnknownRoute => "unknown route",
+            RejectionReason::UnknownKey => "unknown key",
+            RejectionReason::BodyTooLong => "body too long",
+            RejectionReason::BodyTooSlow => "body too slow",
+            RejectionReason::BodyBroken => "body broken",
         }
     }
 }
@@ -127,18 +129,19 @@
     head: &CallHead,
     req: Request<Incoming>,
     received_at: Time,
-) -> Result<Call, Rejection> {
+) -> Result<Call, RejectionReason> {
     if !state.is_synced() {
-        return Err(Rejection::Starting);
+        return Err(RejectionReason::Starting);
     }
     if !state.freshness.borrow().is_valid(received_at) {
-        return Err(Rejection::StaleConfig);
+        return Err(RejectionReason::StaleConfig);
     }
-    let catalog = state.catalog.borrow().clone().ok_or(Rejection::Starting)?;
-    let route = catalog.route(&head.host, req.uri().path()).ok_or(Rejection::UnknownRoute)?.clone();
+    let catalog = state.catalog.borrow().clone().ok_or(RejectionReason::Starting)?;
+    let route =
+        catalog.route(&head.host, req.uri().path()).ok_or(RejectionReason::UnknownRoute)?.clone();
     let customer = authenticate(&catalog, &route, head)?;
     let draw = state.with_rng(|rng| rng.random::<f64>());
-    let service = route.pick_service(draw).ok_or(Rejection::UnknownRoute)?.clone();
+    let service = route.pick_service(draw).ok_or(RejectionReason::UnknownRoute)?.clone();
     let cold_per_second = catalog.service(&service).map_or(0.0, |s| s.cold_per_second);
     let limits = catalog.limits();
     let (parts, body) = req.into_parts();
@@ -168,10 +171,10 @@
     catalog: &Catalog,
     route: &Route,
     head: &CallHead,
-) -> Result<Option<Customer>, Rejection> {
+) -> Result<Option<Customer>, RejectionReason> {
     let customer = head.key.as_deref().and_then(|key| catalog.customer(key));
     if customer.is_none() && catalog.has_customers() && !route.allows_anonymous {
-        return Err(Rejection::UnknownKey);
+        return Err(RejectionReason::UnknownKey);
     }
     Ok(customer.cloned())
 }
@@ -180,18 +183,20 @@
     body: Incoming,
     max_len: usize,
     time_limit: Duration,
-) -> Result<Bytes, Rejection> {
+) -> Result<Bytes, RejectionReason> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
     if body.size_hint().lower() > max_len as u64 {
-        return Err(Rejection::BodyTooLong);
+        return Err(RejectionReason::BodyTooLong);
     }
     match timeout(time_limit, Limited::new(body, max_len).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(Rejection::BodyTooLong),
-        Ok(Err(_)) => Err(Rejection::BodyBroken),
-        Err(_) => Err(Rejection::BodyTooSlow),
+        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
+            Err(RejectionReason::BodyTooLong)
+        }
+        Ok(Err(_)) => Err(RejectionReason::BodyBroken),
+        Err(_) => Err(RejectionReason::BodyTooSlow),
     }
 }
 
--- a/node/src/direct/stream.rs
+++ b/node/src/direct/stream.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use super::attempt::AttemptOutcome;
-use super::attempt::EndpointResponse;
+use super::attempt::AttemptResponse;
 use super::attempt::FIRST_EVENT_TIMEOUT;
 use super::attempt::record_failed_attempt;
 use super::attempt::send_to_endpoint;
@@ -39,7 +39,7 @@
 pub(super) async fn start_stream(
     state: &Rc<State>,
     call: &Rc<Call>,
-    mut response: EndpointResponse,
+    mut response: AttemptResponse,
     history: &mut CallHistory,
 ) -> Result<Response<ResponseBody>> {
     let mut head = Response::new(());
@@ -87,7 +87,7 @@
 
 /// Reads the next complete events; `None` at the end of the stream.
 async fn read_events(
-    response: &mut EndpointResponse,
+    response: &mut AttemptResponse,
     splitter: &mut EventSplitter,
 ) -> Result<Option<Bytes>> {
     loop {
@@ -118,7 +118,7 @@
 async fn relay_stream(
     state: Rc<State>,
     call: Rc<Call>,
-    mut response: EndpointResponse,
+    mut response: AttemptResponse,
     mut splitter: EventSplitter,
     mut history: CallHistory,
     tx: BodySender,
@@ -161,7 +161,7 @@
 async fn relay_events(
     state: &State,
     call: &Call,
-    response: &mut EndpointResponse,
+    response: &mut AttemptResponse,
     splitter: &mut EventSplitter,
     tx: &BodySender,
 ) -> StreamEnd {
@@ -188,8 +188,8 @@
     }
 }
 
-async fn finish_response(state: &State, response: EndpointResponse) {
-    let EndpointResponse { record, mut connection, place, response } = response;
+async fn finish_response(state: &State, response: AttemptResponse) {
+    let AttemptResponse { record, mut connection, place, response } = response;
     state.endpoints.borrow_mut().record_success(place.endpoint);
     drop(place);
     let keep_alive = pool::parse_keep_alive(response.headers());
@@ -206,7 +206,7 @@
     call: &Call,
     splitter: &mut EventSplitter,
     history: &mut CallHistory,
-) -> Option<EndpointResponse> {
+) -> Option<AttemptResponse> {
     if call.route.retry_policy != RetryPolicy::Resumable {
         return None;
     }
--- a/node/src/entry/requests.rs
+++ b/node/src/entry/requests.rs
@@ -52,18 +52,18 @@
 /// error.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(250);
 
-/// Counts a request as in flight until dropped, so that the count stays correct when the caller
+/// Counts a caller's request as in flight until dropped, so that the count stays correct when the caller
 /// disconnects.
-pub(super) struct InFlightGuard(Arc<Shared>);
+pub(super) struct CallerRequestGuard(Arc<Shared>);
 
-impl InFlightGuard {
-    fn begin(shared: &Arc<Shared>) -> InFlightGuard {
+impl CallerRequestGuard {
+    fn begin(shared: &Arc<Shared>) -> CallerRequestGuard {
         shared.in_flight.fetch_add(1, Ordering::AcqRel);
-        InFlightGuard(shared.clone())
+        CallerRequestGuard(shared.clone())
     }
 }
 
-impl Drop for InFlightGuard {
+impl Drop for CallerRequestGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
@@ -91,7 +91,7 @@
 
 /// Returns the response to one request; errors become responses too.
 pub(crate) async fn serve(shared: &Arc<Shared>, req: Request<Incoming>) -> Response<ResponseBody> {
-    let in_flight = InFlightGuard::begin(shared);
+    let in_flight = CallerRequestGuard::begin(shared);
     let result = run(shared, req, in_flight).await;
     result.unwrap_or_else(|error| response::error(error.code, error.outcome, error.retry_after))
 }
@@ -99,7 +99,7 @@
 async fn run(
     shared: &Arc<Shared>,
     req: Request<Incoming>,
-    in_flight: InFlightGuard,
+    in_flight: CallerRequestGuard,
 ) -> Result<Response<ResponseBody>, ErrorReply> {
     let now = shared.clock.now();
     let has_key = parse::has_idempotency_key(&req);
@@ -217,7 +217,7 @@
 
 /// Counts and permits that a request holds until its response has ended.
 pub(super) struct RequestGuard {
-    _in_flight: InFlightGuard,
+    _in_flight: CallerRequestGuard,
     _customer_permit: CustomerPermit,
 }
 
--- a/node/src/transport.rs
+++ b/node/src/transport.rs
@@ -26,7 +26,7 @@
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
 
-use self::watchdog::InFlightGuard;
+use self::watchdog::PeerRequestGuard;
 use self::watchdog::RequestsInFlight;
 use crate::tls::Identity;
 use crate::tls::Material;
@@ -440,7 +440,7 @@
     to: SocketAddr,
     class: TrafficClass,
     responder: Option<Role>,
-) -> Result<(SendStream, RecvStream, InFlightGuard)> {
+) -> Result<(SendStream, RecvStream, PeerRequestGuard)> {
     let peer = connect(endpoint, pool, to, class).await?;
     if responder.is_some() && peer.role != responder {
         return Err(Code::WrongRole);
--- a/node/src/transport/watchdog.rs
+++ b/node/src/transport/watchdog.rs
@@ -57,13 +57,13 @@
 impl RequestsInFlight {
     /// Records a request that is about to be sent on `connection`; it is in flight until the guard
     /// is dropped.
-    pub(super) fn begin(self: &Arc<Self>, connection: &Connection) -> InFlightGuard {
+    pub(super) fn begin(self: &Arc<Self>, connection: &Connection) -> PeerRequestGuard {
         let millis = u64::try_from(self.created_at.elapsed().as_millis()).unwrap_or(u64::MAX);
         self.datagrams_before_send.store(connection.stats().udp_rx.datagrams, Ordering::Release);
         self.last_sent.store(millis, Ordering::Release);
         self.count.fetch_add(1, Ordering::AcqRel);
         self.added.notify_one();
-        InFlightGuard(self.clone())
+        PeerRequestGuard(self.clone())
     }
 
     fn last_sent(&self) -> Instant {
@@ -77,10 +77,10 @@
     }
 }
 
-/// Counts one request as in flight until dropped.
-pub(super) struct InFlightGuard(Arc<RequestsInFlight>);
+/// Counts one request to a peer as in flight until dropped.
+pub(super) struct PeerRequestGuard(Arc<RequestsInFlight>);
 
-impl Drop for InFlightGuard {
+impl Drop for PeerRequestGuard {
     fn drop(&mut self) {
         self.0.count.fetch_sub(1, Ordering::AcqRel);
     }
