--- a/core/src/direct/replication.rs
+++ b/core/src/direct/replication.rs
@@ -159,7 +159,7 @@
     /// Response to a ping. All updates that the sender had when it received the ping precede it.
     Pong {
         /// Timestamp of the ping in microseconds of the follower's clock.
-        asked_us: u64,
+        request_sent_us: u64,
         /// Ages of the sender's state.
         ages: Ages,
         /// Number of hops between the sender and the store.
--- a/core/src/direct/subscribers.rs
+++ b/core/src/direct/subscribers.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Subscriber {
     /// Timestamp of the request in microseconds of the entry's clock.
-    pub asked_us: u64,
+    pub request_sent_us: u64,
     /// When the agent received the request.
     pub received_at: Time,
     /// Whether the entry is in another region than the agent.
--- a/core/tests/direct/subscribers.rs
+++ b/core/tests/direct/subscribers.rs
@@ -22,7 +22,7 @@
 fn subscriber(followers: Option<u32>, depth: u8, ms: u64) -> Subscriber {
     let offer = followers.map(|followers| Offer { followers, depth, store_latency_ms: 5 });
     Subscriber {
-        asked_us: 0,
+        request_sent_us: 0,
         received_at: now(ms),
         is_far: false,
         entries: None,
--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    fn ask(&self, body: RequestBody) -> RequestMessage {
+    fn make_request(&self, body: RequestBody) -> RequestMessage {
         let from = Sender {
             host: self.settings.place.host.clone(),
             incarnation: self.incarnation,
@@ -367,7 +367,7 @@
     }
 
     fn make_request(&self, body: RequestBody) -> RequestMessage {
-        Shared::ask(self, body)
+        Shared::make_request(self, body)
     }
 
     fn documents(&self) -> &Documents {
--- a/node/src/agent/engine_watch.rs
+++ b/node/src/agent/engine_watch.rs
@@ -229,7 +229,7 @@
             let Some(address) = shared.address_of(host) else {
                 return false;
             };
-            let probe = shared.ask(RequestBody::Members(MembersRequest::Probe));
+            let probe = shared.make_request(RequestBody::Members(MembersRequest::Probe));
             let reply = shared.transport.call_unary(address, &probe, PROBE_TIMEOUT);
             matches!(
                 reply.map(|reply| reply.body),
--- a/node/src/agent/pull.rs
+++ b/node/src/agent/pull.rs
@@ -209,7 +209,7 @@
     let probing_candidates =
         plan.candidates.iter().filter(|host| in_my_zone(host)).take(MAX_PROBING_CANDIDATES);
     let hosts = replicas.filter(|host| in_my_zone(host)).chain(probing_candidates);
-    let probe = shared.ask(RequestBody::Members(MembersRequest::Probe));
+    let probe = shared.make_request(RequestBody::Members(MembersRequest::Probe));
     let calls: Vec<_> = hosts
         .filter(|host| **host != shared.settings.place.host)
         .filter_map(|host| Some((host, shared.transport.call(shared.address_of(host)?, &probe))))
--- a/node/src/direct/agent/reports.rs
+++ b/node/src/direct/agent/reports.rs
@@ -36,7 +36,7 @@
             let oldest =
                 req.weights.iter().find(|weights| own_model.as_ref() == Some(&weights.model));
             let subscriber = Subscriber {
-                asked_us: req.sent_us,
+                request_sent_us: req.sent_us,
                 received_at: self.clock.now(),
                 is_far: req.is_far,
                 entries: req.entries,
@@ -140,14 +140,15 @@
         let (relay, root) = (report.relay, report.root);
         let report = Some(report).filter(|_| setup != 0);
         let announced = self.recent_announcements(now);
-        let mut msg = ReportMessage { port, report, asked_us: 0, held_us: 0, setup, announced };
+        let mut msg =
+            ReportMessage { port, report, request_sent_us: 0, held_us: 0, setup, announced };
         for (address, subscriber) in self.subscribers.borrow().receivers(to_all_regions, now) {
             // Entries of other regions have their own relay and receive the root from agents there.
             if let Some(report) = &mut msg.report {
                 report.relay = relay.filter(|_| !subscriber.is_far);
                 report.root = root.filter(|_| !subscriber.is_far);
             }
-            msg.asked_us = subscriber.asked_us;
+            msg.request_sent_us = subscriber.request_sent_us;
             msg.held_us = now.since(subscriber.received_at).as_micros() as u64;
             match postcard::to_stdvec(&msg) {
                 // Datagrams may be lost; the next report replaces this one.
--- a/node/src/direct/load_reports.rs
+++ b/node/src/direct/load_reports.rs
@@ -98,7 +98,7 @@
     pub report: Option<LoadReport>,
     /// Timestamp of the latest request that the agent received from the entry, in microseconds of
     /// the entry's clock.
-    pub asked_us: u64,
+    pub request_sent_us: u64,
     /// Time between the receipt of that request and this report, in microseconds.
     pub held_us: u64,
     /// Id of the agent's setup; 0 if it has none.
@@ -152,7 +152,7 @@
 impl State {
     /// Applies a report from the agent of the endpoint at `address`.
     pub fn apply_report(&self, msg: &ReportMessage, address: SocketAddr, now: Time) {
-        let sent = Time::from_micros(msg.asked_us.saturating_add(msg.held_us)).min(now);
+        let sent = Time::from_micros(msg.request_sent_us.saturating_add(msg.held_us)).min(now);
         msg.announced.iter().for_each(|announced| self.apply_announcement(announced, sent, now));
         let Some(report) = &msg.report else {
             return;
@@ -160,7 +160,7 @@
         let draw = self.with_rng(|rng| rng.random::<f64>());
         let mut endpoints = self.endpoints.borrow_mut();
         endpoints.record_entry_count(report.entries, report.is_count_complete, now);
-        let requested_at = Time::from_micros(msg.asked_us);
+        let requested_at = Time::from_micros(msg.request_sent_us);
         if endpoints.is_in_own_region(address) {
             self.has_fresh_neighbour.set(report.relay.is_some_and(|relay| relay != self.cfg.ip));
         }
--- a/node/src/direct/publisher.rs
+++ b/node/src/direct/publisher.rs
@@ -112,10 +112,10 @@
 
 async fn answer_pings(state: &State, read: &mut OwnedReadHalf, follower: &Outbox) -> Result<()> {
     loop {
-        let asked_us = read.read_u64().await?;
+        let request_sent_us = read.read_u64().await?;
         let message = if state.keeps_followers() {
             let successors = state.publisher.successors();
-            Message::Pong { asked_us, ages: state.ages(), depth: state.depth(), successors }
+            Message::Pong { request_sent_us, ages: state.ages(), depth: state.depth(), successors }
         } else {
             Message::NotAvailable
         };
--- a/node/src/direct/replication/parent.rs
+++ b/node/src/direct/replication/parent.rs
@@ -125,8 +125,8 @@
                 }
             }
             Message::NotAvailable => return Err(ReplicationError::NotAvailable),
-            Message::Pong { asked_us, ages, depth, successors } => {
-                pinged_at = Time::from_micros(asked_us);
+            Message::Pong { request_sent_us, ages, depth, successors } => {
+                pinged_at = Time::from_micros(request_sent_us);
                 if !state.age_limits().are_fresh(&ages, state.now().since(pinged_at)) {
                     return Err(ReplicationError::Stale);
                 }
--- a/node/src/entry.rs
+++ b/node/src/entry.rs
@@ -108,7 +108,7 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    pub(crate) fn ask(&self, body: RequestBody) -> RequestMessage {
+    pub(crate) fn make_request(&self, body: RequestBody) -> RequestMessage {
         let from = Sender {
             host: self.settings.place.host.clone(),
             incarnation: self.incarnation,
@@ -293,7 +293,7 @@
     }
 
     fn make_request(&self, body: RequestBody) -> RequestMessage {
-        Shared::ask(self, body)
+        Shared::make_request(self, body)
     }
 
     fn documents(&self) -> &Documents {
--- a/node/src/entry/claims.rs
+++ b/node/src/entry/claims.rs
@@ -208,7 +208,7 @@
     entries.retain(|m| m.role == HostRole::Entry && m.host != own_place.host && !m.leaving);
     entries.sort_by_key(|m| m.zone == own_place.zone);
     for entry in entries.iter().take(MAX_RELAYING_ENTRIES) {
-        let message = shared.ask(RequestBody::Relay(request.clone()));
+        let message = shared.make_request(RequestBody::Relay(request.clone()));
         let reply = shared.transport.call_unary(entry.address, &message, RELAY_TIMEOUT);
         match reply.map(|reply| reply.body) {
             Ok(ReplyBody::Relay(RelayReply::Unavailable) | ReplyBody::Refused(_))
--- a/node/src/entry/dispatch.rs
+++ b/node/src/entry/dispatch.rs
@@ -107,7 +107,8 @@
     let head_timeout = if parsed.idempotent { remaining.min(first_byte) } else { remaining };
     shared.telemetry.count(Counter::AttemptsSent);
     parsed.unresolved.add();
-    let call = shared.transport.call(permit.to.address, &shared.ask(RequestBody::Run(run)));
+    let call =
+        shared.transport.call(permit.to.address, &shared.make_request(RequestBody::Run(run)));
     let sequencer = FrameSequencer::new(attempt);
     let (status, content_type) = (0, SmolStr::default());
     let mut response = OpenResponse {
@@ -277,7 +278,8 @@
 /// attempt that has not started is voided. Returns `None` if the agent cannot be reached.
 pub(super) async fn query_attempt(shared: &Shared, to: &Dispatch) -> Option<VoidReply> {
     let query = VoidRequest { request: to.request, incarnation: to.incarnation };
-    let mut call = shared.transport.call(to.address, &shared.ask(RequestBody::Void(query)));
+    let mut call =
+        shared.transport.call(to.address, &shared.make_request(RequestBody::Void(query)));
     match timeout(QUERY_TIMEOUT, call.next()).await {
         Ok(Some(Ok(reply))) => match reply.body {
             ReplyBody::Void(reply) => Some(reply),
--- a/node/src/entry/quarantine.rs
+++ b/node/src/entry/quarantine.rs
@@ -58,8 +58,9 @@
         if member.role != HostRole::Entry || member.host == shared.settings.place.host {
             continue;
         }
-        let mut call =
-            shared.transport.call(member.address, &shared.ask(RequestBody::Suspect(crash)));
+        let mut call = shared
+            .transport
+            .call(member.address, &shared.make_request(RequestBody::Suspect(crash)));
         tokio::spawn(async move {
             let _ = tokio::time::timeout(REPORT_TIMEOUT, call.next()).await;
         });
--- a/node/tests/direct/parents.rs
+++ b/node/tests/direct/parents.rs
@@ -30,8 +30,8 @@
     let age = Some(Duration::ZERO);
     let ages = Ages { config: age, endpoints: age, evacuations: age, weights: age };
     loop {
-        let asked_us = stream.read_u64().await?;
-        let pong = Message::Pong { asked_us, ages, depth: 0, successors: Vec::new() };
+        let request_sent_us = stream.read_u64().await?;
+        let pong = Message::Pong { request_sent_us, ages, depth: 0, successors: Vec::new() };
         stream.write_all(&peers::encode(&pong)?).await?;
     }
 }
--- a/node/tests/direct/updates.rs
+++ b/node/tests/direct/updates.rs
@@ -176,7 +176,7 @@
     let msg = ReportMessage {
         port: 9,
         report: None,
-        asked_us: Time::from_millis(8_500).as_micros(),
+        request_sent_us: Time::from_millis(8_500).as_micros(),
         held_us: 100_000,
         setup: 0,
         announced: vec![announced],
--- a/node/tests/shell/walkthrough.rs
+++ b/node/tests/shell/walkthrough.rs
@@ -130,7 +130,7 @@
     ListedHost { name: host.into(), role, zone, region, address, leaving: false }
 }
 
-fn ask(callers: SocketAddr, tokens: usize) -> BufReader<TcpStream> {
+fn send_request(callers: SocketAddr, tokens: usize) -> BufReader<TcpStream> {
     let body =
         format!("{{\"model\":\"rota\",\"stream\":true,\"max_tokens\":{tokens},\"messages\":[]}}");
     let mut stream = TcpStream::connect(callers).unwrap();
@@ -195,7 +195,7 @@
     let callers = address_in(&entry_log, "callers");
     wait_until("answered", || {
         let mut status = String::new();
-        ask(callers, 1).read_line(&mut status).unwrap();
+        send_request(callers, 1).read_line(&mut status).unwrap();
         status.contains("200")
     });
 
@@ -206,7 +206,7 @@
     }
 
     engine.set_faults(|faults| faults.freeze_after = Some(3));
-    let mut answer = ask(callers, 6);
+    let mut answer = send_request(callers, 6);
     read_to(&mut answer, "t2 ");
     let operators = [address_in(&entry_log, "operators"), address_in(&agent_log, "operators")];
     assert!(operators.iter().all(|address| is_ready(*address)));
