--- a/node/src/agent.rs
+++ b/node/src/agent.rs
@@ -297,7 +297,8 @@
         while self.shared.in_flight.load(Ordering::Acquire) > 0 {
             if deadline.is_some_and(|deadline| self.shared.clock.now().passed(begun, deadline)) {
                 let in_flight = self.shared.in_flight.load(Ordering::Acquire);
-                warn!(self.shared.telemetry.log, "stop deadline"; "cut_off" => in_flight);
+                warn!(self.shared.telemetry.log, "stop deadline passed, aborting remaining requests";
+                    "cut_off" => in_flight);
                 break;
             }
             thread::sleep(POLL_INTERVAL);
--- a/node/src/direct/agent.rs
+++ b/node/src/direct/agent.rs
@@ -83,7 +83,7 @@
 
 /// Runs an agent until SIGTERM.
 pub async fn run(cfg: DirectSettings) -> Result<()> {
-    let missing = || io::Error::new(io::ErrorKind::InvalidInput, "the settings lack `endpoint`");
+    let missing = || io::Error::new(io::ErrorKind::InvalidInput, "missing setting `endpoint`");
     let endpoint = cfg.endpoint.ok_or_else(missing)?;
     let log = EventLog::start(cfg.host.as_str())?;
     let mut stop = signal(SignalKind::terminate())?;
@@ -133,7 +133,8 @@
     loop {
         tokio::select! {
             _ = stop.recv() => break,
-            _ = reload.recv() => slog::info!(agent.log, "settings reloaded, nothing to change"),
+            _ = reload.recv() =>
+                slog::info!(agent.log, "reload signal ignored: settings take effect on restart"),
         }
     }
     // No draining is required: requests of callers do not pass through the agent, and a peer whose download is
--- a/node/src/direct/entry.rs
+++ b/node/src/direct/entry.rs
@@ -133,7 +133,7 @@
             _ = stop.recv() => break,
             _ = reload.recv() => {
                 // All settings are fixed for the lifetime of the process.
-                slog::info!(state.log, "settings reloaded, nothing to change");
+                slog::info!(state.log, "reload signal ignored: settings take effect on restart");
             }
         }
     }
--- a/node/src/entry.rs
+++ b/node/src/entry.rs
@@ -255,7 +255,8 @@
             deadline.is_some_and(|span| self.shared.clock.now().passed(stop_started, span));
         if is_overdue && !self.shared.aborting.swap(true, Ordering::AcqRel) {
             let in_flight = self.shared.in_flight.load(Ordering::Acquire);
-            warn!(self.shared.telemetry.log, "stop deadline"; "cut_off" => in_flight);
+            warn!(self.shared.telemetry.log, "stop deadline passed, aborting remaining requests";
+                "cut_off" => in_flight);
         }
         is_overdue
     }
