--- a/node/src/direct/explain.rs
+++ b/node/src/direct/explain.rs
@@ -45,7 +45,10 @@
         .collect();
     let mut cause = match str_field(last, "msg") {
         "request ended" => describe_end(last),
-        "stream broken off" => "The stream was interrupted and could not be resumed.".to_owned(),
+        // Earlier releases logged the second text.
+        "stream interrupted" | "stream broken off" => {
+            "The stream was interrupted and could not be resumed.".to_owned()
+        }
         _ => "Its end was not logged; only a sample of successful requests is.".to_owned(),
     };
     for line in failed {
--- a/node/src/direct/stream.rs
+++ b/node/src/direct/stream.rs
@@ -146,7 +146,7 @@
         match resume_stream(&state, &call, &mut splitter, &mut history).await {
             Some(next) => response = next,
             None => {
-                slog::warn!(state.log, "stream broken off";
+                slog::warn!(state.log, "stream interrupted";
                     "id" => call.head.id.as_deref().unwrap_or_default(),
                     "route" => call.route.name.as_str(), "offers" => history.tried_count(),
                     "left_ms" => call.deadline.since(state.now()).as_millis() as u64);
--- a/node/tests/direct/explain.rs
+++ b/node/tests/direct/explain.rs
@@ -32,6 +32,20 @@
     assert!(explain("zz", LOG.lines()).is_none());
 }
 
+// Logs of earlier releases have another text for an interrupted stream.
+#[test]
+fn explain_reads_both_texts_of_interrupted_stream() {
+    for msg in ["stream interrupted", "stream broken off"] {
+        let line = format!("{{\"msg\":\"{msg}\",\"ts_ms\":40,\"host\":\"edge-1\",\"id\":\"c3\"}}");
+        let explanation = explain("c3", line.lines()).unwrap();
+        assert_eq!(explanation.lines, [line.as_str()]);
+        assert_eq!(
+            explanation.cause, "The stream was interrupted and could not be resumed.",
+            "{msg}"
+        );
+    }
+}
+
 #[test]
 fn summarize_counts_by_status_and_reason() {
     let counts = summarize(LOG.lines());
