--- a/node/src/control.rs
+++ b/node/src/control.rs
@@ -249,10 +249,11 @@
     let node = node.clone();
     let run = move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
-        let runtime = runtime.expect("a runtime without sockets can always be built");
+        // Creating a runtime without an I/O driver does not fail.
+        let runtime = runtime.expect("runtime can be created");
         runtime.block_on(run(node, rx));
     };
-    thread::Builder::new().name("control".to_owned()).spawn(run).expect("a thread can be started")
+    thread::Builder::new().name("control".to_owned()).spawn(run).expect("thread can be created")
 }
 
 async fn run<N: ControlNode>(node: Arc<N>, rx: flume::Receiver<Event>) {
--- a/node/src/platform_watch.rs
+++ b/node/src/platform_watch.rs
@@ -73,7 +73,7 @@
 pub fn start<N: ControlNode>(node: &Arc<N>, store: Arc<dyn ObjectStore>) -> thread::JoinHandle<()> {
     let node = node.clone();
     let run = move || PlatformWatch::new(node, store).run();
-    thread::Builder::new().name("platform".to_owned()).spawn(run).expect("a thread can be started")
+    thread::Builder::new().name("platform".to_owned()).spawn(run).expect("thread can be created")
 }
 
 struct PlatformWatch<N> {
--- a/node/tests/direct/chunk_cache.rs
+++ b/node/tests/direct/chunk_cache.rs
@@ -152,7 +152,7 @@
     test: impl FnOnce(SocketAddr, Rc<FakeOrigin>, Rc<State>) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
+    LocalSet::new().block_on(&runtime.expect("runtime can be created"), async {
         let fake_origin =
             Rc::new(FakeOrigin { behaviour: Cell::new(behaviour), requests: Cell::new(0) });
         let origin_listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a free port");
--- a/node/tests/direct/connection.rs
+++ b/node/tests/direct/connection.rs
@@ -32,7 +32,7 @@
 
 fn read_with_idle_timeout(idle_timeout: Duration) -> Result<Bytes, ConnectionError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("a runtime").block_on(async {
+    runtime.expect("runtime can be created").block_on(async {
         let address = spawn_slow_server();
         let mut connection = HttpConnection::open(address, Duration::from_secs(5)).await?;
         let response =
--- a/node/tests/direct/fixture.rs
+++ b/node/tests/direct/fixture.rs
@@ -291,7 +291,7 @@
             req.headers_mut().insert(name, value.parse().expect("a valid value"));
         }
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let response = runtime.expect("a runtime").block_on(async {
+        let response = runtime.expect("runtime can be created").block_on(async {
             let mut connection = HttpConnection::open(self.callers, WAIT_TIMEOUT).await?;
             connection.call(req, 1 << 20, WAIT_TIMEOUT).await
         })?;
--- a/node/tests/direct/parents.rs
+++ b/node/tests/direct/parents.rs
@@ -52,7 +52,7 @@
 
 fn runs_and_follows(delay: Duration) -> bool {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), follows_after(delay))
+    LocalSet::new().block_on(&runtime.expect("runtime can be created"), follows_after(delay))
 }
 
 #[test]
--- a/node/tests/direct/peers.rs
+++ b/node/tests/direct/peers.rs
@@ -4,7 +4,8 @@
 
 /// Decodes a message.
 fn read(bytes: &[u8]) -> io::Result<Vec<String>> {
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().build().expect("runtime can be created");
     runtime.block_on(peers::read(&mut &bytes[..]))
 }
 
