--- a/node/src/entry.rs
+++ b/node/src/entry.rs
@@ -108,7 +108,7 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    pub(crate) fn ask(&self, body: RequestBody) -> RequestMessage {
+    pub(crate) fn make_request(&self, body: RequestBody) -> RequestMessage {
         let from = Sender {
             host: self.settings.place.host.clone(),
             incarnation: self.incarnation,
@@ -255,7 +255,8 @@
             deadline.is_some_and(|span| self.shared.clock.now().passed(stop_started, span));
         if is_overdue && !self.shared.aborting.swap(true, Ordering::AcqRel) {
             let in_flight = self.shared.in_flight.load(Ordering::Acquire);
-            warn!(self.shared.telemetry.log, "stop deadline"; "cut_off" => in_flight);
+            warn!(self.shared.telemetry.log, "stop deadline passed, aborting remaining requests";
+                "cut_off" => in_flight);
         }
         is_overdue
     }
@@ -293,7 +294,7 @@
     }
 
     fn make_request(&self, body: RequestBody) -> RequestMessage {
-        Shared::ask(self, body)
+        Shared::make_request(self, body)
     }
 
     fn documents(&self) -> &Documents {
