--- a/node/src/platform_watch.rs
+++ b/node/src/platform_watch.rs
@@ -73,10 +73,7 @@
 pub fn start<N: ControlNode>(node: &Arc<N>, store: Arc<dyn ObjectStore>) -> thread::JoinHandle<()> {
     let node = node.clone();
     let run = move || PlatformWatch::new(node, store).run();
-    thread::Builder::new()
-        .name("platform".to_owned())
-        .spawn(run)
-        .expect("the system gives a thread")
+    thread::Builder::new().name("platform".to_owned()).spawn(run).expect("thread can be created")
 }
 
 struct PlatformWatch<N> {
@@ -249,7 +246,7 @@
             let acknowledged = self
                 .node
                 .transport()
-                .ask_one(listed.address, &request, LEAVING_NOTICE_TIMEOUT)
+                .call_unary(listed.address, &request, LEAVING_NOTICE_TIMEOUT)
                 .is_ok();
             if acknowledged && listed.leaving {
                 self.notified_leaving.insert(listed.name.clone());
@@ -286,7 +283,7 @@
 
     fn survey_zone(&self, me: &Member) -> Survey {
         let request = self.node.make_request(RequestBody::Spread(SpreadRequest::Survey));
-        let reply = self.node.transport().ask_one(me.address, &request, SURVEY_TIMEOUT);
+        let reply = self.node.transport().call_unary(me.address, &request, SURVEY_TIMEOUT);
         match reply.map(|reply| reply.body) {
             Ok(ReplyBody::Spread(SpreadReply::Survey(survey))) => survey,
             _ => Survey::of(self.node.documents().generation()),
--- a/node/tests/requests/connection_loss.rs
+++ b/node/tests/requests/connection_loss.rs
@@ -15,19 +15,19 @@
 use mastichaven_node::tls::DevelopmentCa;
 use mastichaven_node::tls::Role;
 use mastichaven_node::transport::Transport;
-use mastichaven_standins::datagrams::DatagramDoor;
+use mastichaven_standins::udp_proxy::UdpProxy;
 
 const ASK_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A client and a server process, connected through a proxy. The server answers each request after
 /// a delay.
-struct Connected {
+struct Link {
     client: Transport,
-    proxy: DatagramDoor,
-    ask: RequestMessage,
+    proxy: UdpProxy,
+    request: RequestMessage,
 }
 
-fn connect(delay: Duration) -> Connected {
+fn connect(delay: Duration) -> Link {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let ca = DevelopmentCa::generate().unwrap();
     let start = |host: &str, role, tx| {
@@ -36,8 +36,8 @@
     let client = start("asker", Role::Entry, flume::bounded(1).0);
     let (tx, rx) = flume::bounded(16);
     let server = start("answerer", Role::Agent, tx);
-    let proxy = DatagramDoor::open("127.0.0.1:0").unwrap();
-    proxy.lead_to(server.local_addr());
+    let proxy = UdpProxy::open("127.0.0.1:0").unwrap();
+    proxy.set_target(server.local_addr());
     thread::spawn(move || {
         let _server = server;
         for incoming in rx {
@@ -50,7 +50,7 @@
     // Not a control request: those use connections of their own, with a short timeout per request
     // instead.
     let void = VoidRequest { request: RequestId::default(), incarnation: Incarnation::default() };
-    Connected { client, proxy, ask: RequestMessage { from, body: RequestBody::Void(void) } }
+    Link { client, proxy, request: RequestMessage { from, body: RequestBody::Void(void) } }
 }
 
 // A middlebox loses the state of an open connection: its packets are dropped without notice to
@@ -58,26 +58,22 @@
 // idle timeout of the connection, and the next request must succeed. The timeouts are loose for
 // busy machines.
 #[test]
-fn ask_one_on_silent_connection() {
-    let connected = connect(Duration::ZERO);
-    assert!(
-        connected.client.ask_one(connected.proxy.address(), &connected.ask, ASK_TIMEOUT).is_ok()
-    );
-    connected.proxy.forget_connections();
+fn call_unary_on_silent_connection() {
+    let link = connect(Duration::ZERO);
+    assert!(link.client.call_unary(link.proxy.address(), &link.request, ASK_TIMEOUT).is_ok());
+    link.proxy.blackhole_connections();
     let sent_at = Instant::now();
-    let lost = connected.client.ask_one(connected.proxy.address(), &connected.ask, ASK_TIMEOUT);
+    let lost = link.client.call_unary(link.proxy.address(), &link.request, ASK_TIMEOUT);
     println!("failed after {:?}", sent_at.elapsed());
     assert_eq!(lost.unwrap_err(), Code::PeerLost);
-    assert!(
-        connected.client.ask_one(connected.proxy.address(), &connected.ask, ASK_TIMEOUT).is_ok()
-    );
+    assert!(link.client.call_unary(link.proxy.address(), &link.request, ASK_TIMEOUT).is_ok());
 }
 
 // A slow peer must not be treated as a lost connection, because a retry would run the request
 // twice.
 #[test]
-fn ask_one_to_slow_peer() {
-    let connected = connect(Duration::from_secs(4));
-    let address = connected.proxy.address();
-    assert!(connected.client.ask_one(address, &connected.ask, ASK_TIMEOUT).is_ok());
+fn call_unary_to_slow_peer() {
+    let link = connect(Duration::from_secs(4));
+    let address = link.proxy.address();
+    assert!(link.client.call_unary(address, &link.request, ASK_TIMEOUT).is_ok());
 }
